--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -39,7 +39,7 @@
     HeartbeatReply,
     PushTargets,
 )
-from pimentocross.placement.policy import LeastLoaded, Wanted
+from pimentocross.placement.policy import LeastLoaded, PlacementRequest
 from pimentocross.standins.log import LogStandin
 from pimentocross.vms.commitments import Commitments
 from pimentocross.zones.cell_state import (
@@ -226,7 +226,7 @@
 def _decide(workers: int) -> float:
     """Returns microseconds for one placement decision."""
     views = _views(workers)
-    wanted = Wanted("t", TaskKind.BATCH, "plan", _SIZE)
+    wanted = PlacementRequest("t", TaskKind.BATCH, "plan", _SIZE)
     policy = LeastLoaded()
 
     def run() -> None:
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -21,16 +21,16 @@
 from pimentocross.backing.workers import Resources, TaskKind
 from pimentocross.config.load import load_configuration, read_folder
 from pimentocross.config.schema import Configuration
-from pimentocross.placement.const import MOVE_INTERVAL
+from pimentocross.placement.const import MOVE_INTERVAL_SECONDS
 from pimentocross.placement.interference import Estimate, Interference
 from pimentocross.placement.policy import (
     Choice,
     LeastLoaded,
     PlacementPolicy,
-    Wanted,
+    PlacementRequest,
 )
 from pimentocross.placement.quarantine import Quarantine
-from pimentocross.placement.rebalance import Placed, choose_move
+from pimentocross.placement.rebalance import PlacedReplica, choose_move
 from pimentocross.placement.weighted import WeightedPolicy, make_weighted_policy
 
 _ROOT = Path(__file__).parent.parent
@@ -48,7 +48,9 @@
 class FirstFit:
     """Takes the first worker by name."""
 
-    def choose(self, wanted: Wanted, workers: list[FakeWorker]) -> Choice:
+    def choose(
+        self, wanted: PlacementRequest, workers: list[FakeWorker]
+    ) -> Choice:
         """Returns the worker; see `PlacementPolicy`."""
         for worker in sorted(workers, key=lambda w: w.name):
             if wanted.size.fits_in(worker.free):
@@ -184,7 +186,7 @@
             self._work(now)
             self._serve(now)
             self._learn(now)
-            if now % int(MOVE_INTERVAL) == 0:
+            if now % int(MOVE_INTERVAL_SECONDS) == 0:
                 self._rebalance(now)
         ordered = sorted(self._latencies)
         measured = self._duration - self._duration * _WARM_UP / DURATION
@@ -294,7 +296,7 @@
             fresh = [w for w in usable if w.name not in task.avoid]
             usable = fresh or usable
         of = task.of
-        wanted = Wanted(task.name, of.kind, of.name, of.size)
+        wanted = PlacementRequest(task.name, of.kind, of.name, of.size)
         choice = self._policy.choose(wanted, usable)
         if not choice.worker:
             return False
@@ -376,8 +378,9 @@
             if t.worker is not None
         }
         placed = [
-            Placed(
-                Wanted(t.name, t.of.kind, t.of.name, t.of.size), t.worker.name
+            PlacedReplica(
+                PlacementRequest(t.name, t.of.kind, t.of.name, t.of.size),
+                t.worker.name,
             )
             for t in tasks.values()
             if t.worker is not None
--- a/bench/without.py
+++ b/bench/without.py
@@ -14,7 +14,7 @@
 from pimentocross.placement.disturbance import Disturbance, Estimate
 from pimentocross.placement.durations import Durations
 from pimentocross.placement.headroom import Headroom
-from pimentocross.placement.layout import Outlook
+from pimentocross.placement.layout import CapacityValue
 from pimentocross.placement.pacing import FULL_PACE
 from pimentocross.placement.probes import Probes
 from pimentocross.placement.quarantine import Quarantine
@@ -75,7 +75,7 @@
     "slowness": _put(soundness.Speeds, "is_slow", _false),
     "stalls": _put(care, "is_stalled", _false),
     "wide-steps": _put(Durations, "_slowest", _one),
-    "yielding-to-others": _put(Outlook, "wanted_by_others", _zero),
+    "yielding-to-others": _put(CapacityValue, "wanted_by_others", _zero),
 }
 
 if __name__ == "__main__":
--- a/pimentocross/owner/arranger.py
+++ b/pimentocross/owner/arranger.py
@@ -9,9 +9,18 @@
 from pimentocross.owner.orders import Orders
 from pimentocross.owner.worker import Worker
 from pimentocross.placement.demand import Demand
-from pimentocross.placement.hosts import plain_view
-from pimentocross.placement.layout import Compatibility, Outlook, scarcities
-from pimentocross.placement.moves import Move, Mover, Seat, seat_of
+from pimentocross.placement.hosts import unconstrained_context
+from pimentocross.placement.layout import (
+    CapacityValue,
+    Compatibility,
+    scarcities,
+)
+from pimentocross.placement.moves import (
+    Move,
+    MoveCandidate,
+    Mover,
+    move_candidate,
+)
 from pimentocross.placement.probes import RETRY_INTERVAL, Probes
 from pimentocross.placement.soundness import may_take_away
 from pimentocross.work.state import Destination, Run, Step, Task
@@ -37,7 +46,7 @@
 
     def __init__(self, learned: Learned) -> None:
         """Takes what was learned of images."""
-        self.view = plain_view(learned.disturbance)
+        self.view = unconstrained_context(learned.disturbance)
         self._disturbance = learned.disturbance
         self._demand = Demand()
         self._moving: list[_Moving] = []
@@ -66,9 +75,11 @@
         demand = self._demand.note(_asked_for(waiting, workers), now)
         compatibility = Compatibility(demand, self._disturbance)
         scarcity = scarcities(demand, workers, compatibility)
-        outlook = Outlook(scarcity.shares, compatibility, scarcity.worst)
-        self.view = self.view._replace(outlook=outlook)
-        self._move(workers, outlook, orders, now)
+        capacity_value = CapacityValue(
+            scarcity.shares, compatibility, scarcity.worst
+        )
+        self.view = self.view._replace(capacity_value=capacity_value)
+        self._move(workers, capacity_value, orders, now)
 
     def renew_probes(self, workers: Sequence[Worker], now: float) -> None:
         """Looks anew at which pairs of images are being tried."""
@@ -89,33 +100,34 @@
     def _move(
         self,
         workers: Sequence[Worker],
-        outlook: Outlook,
+        capacity_value: CapacityValue,
         orders: Orders,
         now: float,
     ) -> None:
         """Has the best move made, and more as long as they may be."""
-        if outlook.is_plain:
+        if capacity_value.is_unconstrained:
             return
         self._moving = [m for m in self._moving if now < m.until]
         serving = sum(sum(worker.serving.values()) for worker in workers)
         most = int(_MOVING_MOST * serving) - sum(m.cpu for m in self._moving)
         if most <= 0 and self._moving:
             return
-        seats = _movable(workers, now)
-        mover = Mover(workers, outlook)
+        candidates = _movable(workers, now)
+        mover = Mover(workers, capacity_value)
         while most > 0 or not self._moving:
             busy = {n for m in self._moving for n in m.workers}
             # Each step is looked at once, not for each of its tasks.
-            steps = {seat.task.step for seat in seats}
+            steps = {candidate.task.step for candidate in candidates}
             may_leave = {step for step in steps if may_take_away(step)}
-            seats = [
-                seat
-                for seat in seats
-                if seat.host.number not in busy and seat.task.step in may_leave
+            candidates = [
+                candidate
+                for candidate in candidates
+                if candidate.host.number not in busy
+                and candidate.task.step in may_leave
             ]
             # In a small cell one exchange is more than that share.
             bound = most if self._moving else serving
-            move = mover.best(seats, bound, busy)
+            move = mover.best(candidates, bound, busy)
             if move is None:
                 return
             until = now + _PLACE_WAIT
@@ -147,10 +159,10 @@
     return wanted
 
 
-def _movable(workers: Iterable[Worker], now: float) -> list[Seat]:
+def _movable(workers: Iterable[Worker], now: float) -> list[MoveCandidate]:
     """Returns the serving tasks that do as well on any other worker."""
     return [
-        seat_of(task, worker)
+        move_candidate(task, worker)
         for worker in workers
         for task in worker.settled(now, _SETTLED_AFTER)
         if task.step.spec.target_tail and not _is_bound(task)
--- a/pimentocross/owner/care.py
+++ b/pimentocross/owner/care.py
@@ -10,7 +10,7 @@
 from pimentocross.owner.orders import Orders
 from pimentocross.owner.roster import Roster
 from pimentocross.owner.worker import AT_WORK, Worker
-from pimentocross.placement.hosts import HARM_MOST
+from pimentocross.placement.hosts import MAX_HARM
 from pimentocross.placement.pacing import (
     MOVE_BELOW,
     OVER_MOST,
@@ -162,7 +162,7 @@
             default=0.0,
         )
         little_lost = spec.saves or run.percent < _LITTLE_DONE
-        return harm > HARM_MOST and little_lost
+        return harm > MAX_HARM and little_lost
 
     def _is_misplaced(self, worker: Worker, task: Task, run: Run) -> bool:
         """True if a filler surely disturbs, and loses little by a move."""
--- a/pimentocross/owner/copier.py
+++ b/pimentocross/owner/copier.py
@@ -20,13 +20,13 @@
 from pimentocross.owner.room import RoomKeeper
 from pimentocross.owner.worker import Worker
 from pimentocross.placement.copies import (
+    CopyBudget,
     CopyHistory,
-    CopyRoom,
     Straggler,
     is_worth_copy,
     may_hold_up,
 )
-from pimentocross.placement.field import Few
+from pimentocross.placement.field import HostList
 from pimentocross.placement.hosts import common_rack
 from pimentocross.placement.urgency import urgency
 from pimentocross.work.state import Run, RunState, Step, Task
@@ -134,7 +134,7 @@
         queue = task.step.job.queue.name
         now = trio.current_time()
         left = self._left(task.step, other, now)
-        self._history.note_verdict(queue, won=won)
+        self._history.note_outcome(queue, won=won)
         if won:
             worked = now - other.state_at + left
             self._learned.durations.note_long_task(task.step, worked)
@@ -190,14 +190,14 @@
     def _fresh(self, step: Step) -> float:
         return self._learned.durations.by_tasks(step)
 
-    def _free_room(self, sound: Sequence[Worker], now: float) -> CopyRoom:
+    def _free_room(self, sound: Sequence[Worker], now: float) -> CopyBudget:
         waiting = self._book.open_steps(wall.now())
         spare = self._room.spare(sound, waiting, now) - sum(
             step.waiting_count * step.spec.committed.cpu for step in waiting
         )
         capacity = sum(worker.life.capacity.cpu for worker in sound)
         taken = sum(task.step.spec.size.cpu for task in self._pairs)
-        return CopyRoom(capacity, spare, taken)
+        return CopyBudget(capacity, spare, taken)
 
     def _admits(self, step: Step, now: float) -> bool:
         queue = step.job.queue.name
@@ -211,7 +211,7 @@
     ) -> Placement | None:
         task, original, straggler = found
         left_out = task.failed_on | {original.worker}
-        places = Few(
+        places = HostList(
             [w for w in sound if w.number not in left_out],
             self._arranger.view,
         )
--- a/pimentocross/owner/dispatcher.py
+++ b/pimentocross/owner/dispatcher.py
@@ -29,7 +29,7 @@
 from pimentocross.owner.room import RoomKeeper, is_short
 from pimentocross.owner.roster import Roster
 from pimentocross.owner.worker import Worker
-from pimentocross.placement.reclaim import TASKS_MOST
+from pimentocross.placement.reclaim import SMALL_CELL_TASK_LIMIT
 from pimentocross.placement.triage import Order
 from pimentocross.placement.urgency import Chance, Urgency, urgency
 from pimentocross.work.queue import WorkConfig
@@ -223,7 +223,7 @@
         missed = [step for _, _, step in ranked if step in missed_short]
         if self._round.carried and not self._round.cut:
             # Room may have come since they were looked at, in a former pass.
-            for step in missed[:TASKS_MOST]:
+            for step in missed[:SMALL_CELL_TASK_LIMIT]:
                 placements.extend(placer.place(step))
         self._send(placements, orders)
         if not self._round.cut:
--- a/pimentocross/owner/placer.py
+++ b/pimentocross/owner/placer.py
@@ -9,7 +9,7 @@
 from pimentocross.owner.learned import Learned
 from pimentocross.owner.orders import Placement
 from pimentocross.owner.worker import Worker
-from pimentocross.placement.field import Few, Field, Places
+from pimentocross.placement.field import HostIndex, HostList, HostPool
 from pimentocross.placement.host import allows
 from pimentocross.placement.hosts import common_rack
 from pimentocross.work.state import Run, Step, Task
@@ -42,8 +42,8 @@
             isolation: Finds where tasks are isolated.
             now: Present time.
         """
-        self._sound = Field(sound, arranger.view)
-        self._usable = Field(usable, arranger.view)
+        self._sound = HostIndex(sound, arranger.view)
+        self._usable = HostIndex(usable, arranger.view)
         self._racks: Mapping[int, str] = {
             worker.number: worker.life.rack for worker in sound
         }
@@ -62,13 +62,17 @@
     def place_anywhere(self, step: Step) -> list[Placement]:
         """Places what waits of a step on any worker, as far as it fits."""
         placed = self._place_among(step, self._usable)
-        self._usable.reopen()
+        self._usable.include_all()
         return placed
 
-    def _place_among(self, step: Step, field: Field[Worker]) -> list[Placement]:
-        places: Places[Worker] = field
+    def _place_among(
+        self, step: Step, field: HostIndex[Worker]
+    ) -> list[Placement]:
+        places: HostPool[Worker] = field
         if step.job.queue.asks_adviser:
-            places = Few(self._advised(step, field.hosts), self._arranger.view)
+            places = HostList(
+                self._advised(step, field.hosts), self._arranger.view
+            )
         if step.spec.gang:
             placed = self._place_gang(step, places)
         else:
@@ -77,7 +81,7 @@
         return placed
 
     def _place_each(
-        self, step: Step, places: Places[Worker]
+        self, step: Step, places: HostPool[Worker]
     ) -> list[Placement]:
         """Places what waits of a step one by one, as far as it fits."""
         rack = ""
@@ -113,7 +117,7 @@
         return found
 
     def _place_gang(
-        self, step: Step, places: Places[Worker]
+        self, step: Step, places: HostPool[Worker]
     ) -> list[Placement]:
         """Places all members under one run number, or none."""
         tasks = list(step.waiting())
@@ -137,14 +141,14 @@
         return placed
 
     def _place(
-        self, task: Task, number: int, places: Places[Worker], rack: str
+        self, task: Task, number: int, places: HostPool[Worker], rack: str
     ) -> Placement | None:
         if task.crash_history.needs_isolation:
             return self._place_isolated(task, number, places, rack)
         return self._place_on(task, number, places, rack)
 
     def _place_on(
-        self, task: Task, number: int, places: Places[Worker], rack: str
+        self, task: Task, number: int, places: HostPool[Worker], rack: str
     ) -> Placement | None:
         worker = places.choose(task, rack)
         if worker is None:
@@ -160,17 +164,17 @@
         quarantine = self._learned.quarantine
         quarantine.note_started(worker.life.id)
         if not quarantine.admits(worker.life.id, self._now):
-            places.close(worker)
+            places.exclude(worker)
         ticket = self._advice.tickets(task.step).get(worker.life.id, "")
         return Placement(task, run, worker, ticket)
 
     def _place_isolated(
-        self, task: Task, number: int, places: Places[Worker], rack: str
+        self, task: Task, number: int, places: HostPool[Worker], rack: str
     ) -> Placement | None:
         """Places a task in isolation, or without if that takes too long."""
         found = self._isolation.find(task, places.hosts)
         if found:
-            places = Few(found, self._arranger.view)
+            places = HostList(found, self._arranger.view)
         elif not self._isolation.is_due(task, self._now):
             return None
         placement = self._place_on(task, number, places, rack)
@@ -198,12 +202,12 @@
 
 
 def _destination(
-    task: Task, places: Places[Worker], now: float
-) -> Places[Worker]:
+    task: Task, places: HostPool[Worker], now: float
+) -> HostPool[Worker]:
     """Returns the worker that a task is moved to, for a while, or all."""
     if task.bound_for is None:
         return places
     if now >= task.bound_for.until:
         task.bound_for = None
         return places
-    return places.only(task.bound_for.worker)
+    return places.restricted_to(task.bound_for.worker)
--- a/pimentocross/owner/reclaimer.py
+++ b/pimentocross/owner/reclaimer.py
@@ -15,8 +15,8 @@
 from pimentocross.owner.orders import Orders
 from pimentocross.owner.room import RoomKeeper
 from pimentocross.owner.worker import Worker
-from pimentocross.placement.moves import Seat, seat_of
-from pimentocross.placement.reclaim import choose_evictions, tasks_most
+from pimentocross.placement.moves import MoveCandidate, move_candidate
+from pimentocross.placement.reclaim import choose_evictions, task_limit
 from pimentocross.placement.soundness import may_take_away
 from pimentocross.work.state import Step, Task
 
@@ -145,15 +145,15 @@
             for step in {task.step for task, _ in settled}
             if self.may_give(step)
         }
-        seats = [
-            seat_of(task, worker)
+        candidates = [
+            move_candidate(task, worker)
             for task, worker in settled
             if task.step in may_give
         ]
         most = share - self._away()
-        wanted = waiting[: tasks_most(len(workers))]
-        for seat in choose_evictions(wanted, seats, most):
-            self._give_way(seat, workers, orders, now)
+        wanted = waiting[: task_limit(len(workers))]
+        for candidate in choose_evictions(wanted, candidates, most):
+            self._give_way(candidate, workers, orders, now)
 
     def _away(self) -> int:
         """Returns what the tasks reserve that gave way and aren't back."""
@@ -167,10 +167,14 @@
         return sum(task.step.spec.size.cpu for task in self._stopped_runs)
 
     def _give_way(
-        self, seat: Seat, workers: Sequence[Worker], orders: Orders, now: float
+        self,
+        candidate: MoveCandidate,
+        workers: Sequence[Worker],
+        orders: Orders,
+        now: float,
     ) -> None:
-        task = seat.task
-        worker = next(w for w in workers if w is seat.host)
+        task = candidate.task
+        worker = next(w for w in workers if w is candidate.host)
         run = next(r for t, r in worker.running() if t is task)
         self._gave_way_at[task.step] = now
         self._stopped_runs[task] = run.number
--- a/pimentocross/owner/room.py
+++ b/pimentocross/owner/room.py
@@ -4,7 +4,7 @@
 from weakref import WeakKeyDictionary
 
 from pimentocross.owner.worker import Worker
-from pimentocross.placement.headroom import HELD_BACK_MOST, Headroom
+from pimentocross.placement.headroom import MAX_HELD_BACK_SECONDS, Headroom
 from pimentocross.work.state import Step
 
 
@@ -61,13 +61,13 @@
         """True for work that leaves the headroom free, for a while."""
         if not _leaves_headroom(step) or _has_run(step):
             return False
-        return self._held_for(step, now) < HELD_BACK_MOST
+        return self._held_for(step, now) < MAX_HELD_BACK_SECONDS
 
     def needs_any_worker(self, step: Step, now: float) -> bool:
         """True for tasks that last and have waited long for a sound worker."""
         if not step.spec.lasting:
             return False
-        return self._held_for(step, now) >= HELD_BACK_MOST
+        return self._held_for(step, now) >= MAX_HELD_BACK_SECONDS
 
     def forget(self, step: Step) -> None:
         """Notes that a step has all its room."""
--- a/pimentocross/owner/worker.py
+++ b/pimentocross/owner/worker.py
@@ -292,7 +292,7 @@
         return {i: cpu / capacity for i, cpu in used.items() if cpu > 0}
 
     @property
-    def suffers(self) -> bool:
+    def misses_target(self) -> bool:
         """True if a serving task was over its target twice in a row."""
         if not self._over_since:
             return False
--- a/pimentocross/placement/__init__.py
+++ b/pimentocross/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions: where a task goes, in which order, and why."""
+"""Task placement: worker choice, ordering, eviction and learned estimates."""
--- a/pimentocross/placement/copies.py
+++ b/pimentocross/placement/copies.py
@@ -1,46 +1,48 @@
-"""When a second run of a task is worth its room.
+"""Decides when to start a copy (a speculative second run) of a slow task.
 
-Load pattern: a step of ten short tasks of which one takes seven times as long.
-The step, and the job with it, is held up by that one while workers have room.
-Where copies are allowed, the first run to end counts. A copy only helps where
-the length belongs to the run, not to the task: it is learned by queue whether
-copies win.
+Load pattern: in a step of ten short tasks one takes seven times as long as the
+others. It delays the step, and with it the job, while workers have room. Where
+copies are allowed, the run that ends first counts. A copy only helps if the run
+is slow and not the task itself, so that for each queue the share of copies that
+end first is learned.
 """
 
 from typing import Final, NamedTuple
 
 from pimentocross.placement.urgency import Chance
 
-# Seconds from a decision to the first work of a run: its record and its order.
-START_COST: Final = 0.3
-# A run has to lag this far behind a fresh one: expectations of either are off
-# by nearly as much.
-_LAG_LEAST: Final = 2.0
-# A step is held up by single runs once one task in so many is left.
-_WIDTH_A_TASK: Final = 4
-# Share of all processors that copies may take: what they displace is the room
-# that the next burst of short work would find.
-_ROOM_MOST: Final = 0.02
-# Share of a new verdict: about the last ten count.
-_LEARNING: Final = 0.1
-# Verdicts before a queue is judged, and copies at a time until then.
-_JUDGED_FROM: Final = 4
-# Copies of a queue have to win this often: those that lose cost as much room as
-# the others save waiting.
-_WINS_LEAST: Final = 0.3
-# A queue whose copies don't win is tried again after so many seconds.
-_RETRY_AFTER: Final = 15.0
+# Seconds from the decision until a run begins its work: its record is written
+# and its start is sent to the worker.
+START_SECONDS: Final = 0.3
+# A run's remaining time has to exceed that of a new run by this factor. The
+# expected durations of both are off by nearly as much.
+_MIN_LAG_FACTOR: Final = 2.0
+# Single runs delay a step once at most one in this many of its tasks is undone.
+_WIDTH_PER_UNDONE_TASK: Final = 4
+# Share of all processors that copies may take. Copies use the room that the
+# next burst of short work would need.
+_MAX_COPY_SHARE: Final = 0.02
+# Weight of a new outcome in the moving average: about the last ten count.
+_LEARNING_RATE: Final = 0.1
+# Outcomes needed before a queue's win share is used, and the highest number of
+# copies that are started until then.
+_MIN_OUTCOMES: Final = 4
+# Share of a queue's copies that have to end first. Below it, the lost copies
+# cost as much room as the others save in waiting time.
+_MIN_WIN_SHARE: Final = 0.3
+# Time after which a queue with a lower win share gets another copy.
+_RETRY_AFTER_SECONDS: Final = 15.0
 
 
 class Straggler(NamedTuple):
-    """A run that others of its step may be waiting for.
+    """A run that may delay its step.
 
     Attributes:
-        left: Seconds that it is expected to take on.
-        fresh: Seconds that a fresh run is expected to take once it works.
-        undone: Tasks of its step that aren't done.
-        width: Tasks of its step.
-        chance: What its job can still earn.
+        left: Expected remaining seconds of the run.
+        fresh: Expected seconds of a new run, once it has begun its work.
+        undone: Number of tasks of the step that are not done.
+        width: Number of tasks of the step.
+        chance: Prospects of the job to meet its objective.
     """
 
     left: float
@@ -51,26 +53,26 @@
 
 
 def may_hold_up(undone: int, width: int) -> bool:
-    """True if few enough tasks of a step are left for one to hold it up."""
-    return 0 < undone <= max(width // _WIDTH_A_TASK, 1)
+    """True if so few tasks of a step are undone that one may delay it."""
+    return 0 < undone <= max(width // _WIDTH_PER_UNDONE_TASK, 1)
 
 
 def is_worth_copy(straggler: Straggler) -> bool:
-    """True if a copy is likely to end well before a run does."""
+    """True if a copy is likely to end well before the run does."""
     if straggler.chance >= Chance.HOPELESS:
         return False
     if not may_hold_up(straggler.undone, straggler.width):
         return False
-    return straggler.left > _LAG_LEAST * (straggler.fresh + START_COST)
+    return straggler.left > _MIN_LAG_FACTOR * (straggler.fresh + START_SECONDS)
 
 
-class CopyRoom(NamedTuple):
-    """What copies may take, in thousandths of a core.
+class CopyBudget(NamedTuple):
+    """Processor time for copies, in thousandths of a core.
 
     Attributes:
-        capacity: Of all workers.
-        spare: What is free beyond what waits and the headroom.
-        taken: What copies have reserved.
+        capacity: Capacity of all workers.
+        spare: Free time beyond the waiting tasks' needs and the headroom.
+        taken: Time that copies have reserved.
     """
 
     capacity: float
@@ -78,65 +80,68 @@
     taken: float
 
     def admits(self, asked: float) -> bool:
-        """True if one more copy finds room; a small cell may have one."""
-        most = _ROOM_MOST * self.capacity
+        """True if one more copy fits.
+
+        One copy is allowed beyond the share, so that a small cell may have it.
+        """
+        most = _MAX_COPY_SHARE * self.capacity
         within_share = not self.taken or self.taken + asked <= most
         return asked <= self.spare and within_share
 
-    def after(self, asked: float) -> "CopyRoom":
-        """Returns what is left after one more copy."""
-        return CopyRoom(self.capacity, self.spare - asked, self.taken + asked)
+    def after(self, asked: float) -> "CopyBudget":
+        """Returns the budget after one more copy."""
+        return CopyBudget(self.capacity, self.spare - asked, self.taken + asked)
 
 
-class _Verdicts(NamedTuple):
-    """What became of a queue's copies.
+class _Outcomes(NamedTuple):
+    """Outcomes of a queue's copies.
 
     Attributes:
-        judged: How many of them ended first or second.
-        won: Share that won, of late.
-        tried_at: When one was last started.
+        decided: Number of copies of which is known whether they ended first.
+        won: Moving average of the share that ended first.
+        tried_at: Time of the last start of a copy.
     """
 
-    judged: int = 0
+    decided: int = 0
     won: float = 0.0
     tried_at: float = float("-inf")
 
 
 class CopyHistory:
-    """Learns by queue whether copies win."""
+    """Learns for each queue how often copies end before the original run."""
 
     def __init__(self) -> None:
-        """Knows nothing yet."""
-        self._verdicts: dict[str, _Verdicts] = {}
+        """Initializes an empty history."""
+        self._outcomes: dict[str, _Outcomes] = {}
 
     def admits(self, queue: str, undecided: int, now: float) -> bool:
-        """True if one more copy of a queue's tasks may be made.
+        """True if one more copy of a queue's tasks may be started.
 
         Args:
             queue: The queue.
-            undecided: Its copies that are on.
+            undecided: Number of its copies that have not ended.
             now: Present time.
         """
-        known = self._verdicts.get(queue, _Verdicts())
-        if known.judged < _JUDGED_FROM:
-            return undecided + known.judged < _JUDGED_FROM
-        if known.won >= _WINS_LEAST:
+        known = self._outcomes.get(queue, _Outcomes())
+        if known.decided < _MIN_OUTCOMES:
+            return undecided + known.decided < _MIN_OUTCOMES
+        if known.won >= _MIN_WIN_SHARE:
             return True
-        return not undecided and now - known.tried_at >= _RETRY_AFTER
+        return not undecided and now - known.tried_at >= _RETRY_AFTER_SECONDS
 
     def note_started(self, queue: str, now: float) -> None:
-        """Notes that a copy was decided on."""
-        known = self._verdicts.get(queue, _Verdicts())
-        self._verdicts[queue] = known._replace(tried_at=now)
-
-    def note_verdict(self, queue: str, *, won: bool) -> None:
-        """Notes whether a copy ended before the run that it is of."""
-        known = self._verdicts.get(queue, _Verdicts())
-        judged = known.judged + 1
-        weight = max(1 / judged, _LEARNING)
+        """Records the decision to start a copy."""
+        known = self._outcomes.get(queue, _Outcomes())
+        self._outcomes[queue] = known._replace(tried_at=now)
+
+    def note_outcome(self, queue: str, *, won: bool) -> None:
+        """Records whether a copy ended before the original run."""
+        known = self._outcomes.get(queue, _Outcomes())
+        decided = known.decided + 1
+        weight = max(1 / decided, _LEARNING_RATE)
         share = known.won + weight * (won - known.won)
-        self._verdicts[queue] = known._replace(judged=judged, won=share)
+        self._outcomes[queue] = known._replace(decided=decided, won=share)
 
     def share_won(self, queue: str) -> float:
-        """Returns the share of a queue's copies that won, of late."""
-        return self._verdicts.get(queue, _Verdicts()).won
+        """Returns the recent share of a queue's copies that ended first."""
+        return self._outcomes.get(queue, _Outcomes()).won
--- a/pimentocross/placement/field.py
+++ b/pimentocross/placement/field.py
@@ -1,9 +1,10 @@
-"""The workers of one pass, in the order in which they suit each kind of task.
+"""An index of the workers of one pass, ordered by fit for each task class.
 
-Load pattern: hundreds of tasks of a few kinds wait in a cell of hundreds of
-workers. Looked at anew for each task, they would take most of a pass. Here a
-kind looks at each worker once, and again only at those that changed: looks grow
-with workers plus placements, not with their product.
+Load pattern: hundreds of tasks of a few classes wait in a cell of hundreds of
+workers. Evaluating every worker for each task would take most of a pass. Here
+each task class evaluates every worker once, and afterwards only the workers
+that changed, so that the number of evaluations grows with workers plus
+placements and not with their product.
 """
 
 from collections.abc import Iterable, Sequence
@@ -12,83 +13,90 @@
 
 from pimentocross.placement.host import left_over, may_run
 from pimentocross.placement.hosts import (
-    FAILED_THERE,
-    NOT_NEAR,
+    FAILED_THERE_PENALTY,
+    OTHER_RACK_PENALTY,
     HostT,
-    View,
+    PlacementContext,
     choose,
+    exclusions_for,
     fit,
-    shut_out,
     wanted_rack,
 )
 from pimentocross.work.spec import Size, StepSpec
 from pimentocross.work.state import Step, Task
 
 
-class Places(Protocol[HostT]):
-    """Workers among which one is chosen."""
+class HostPool(Protocol[HostT]):
+    """A set of workers from which one is chosen for each task."""
 
     @property
     def hosts(self) -> list[HostT]:
-        """Those that aren't left out."""
+        """Workers that are not excluded."""
         ...
 
     def choose(self, task: Task, rack: str = "") -> HostT | None:
         """Returns the best worker for a task, or None if none has room.
 
         Args:
-            task: What is to be started.
+            task: The task to start.
             rack: Rack that the step's other tasks are on, or "".
         """
         ...
 
-    def close(self, host: HostT) -> None:
-        """Has a worker left out from now on."""
+    def exclude(self, host: HostT) -> None:
+        """Excludes a worker from later choices."""
         ...
 
-    def only(self, number: int) -> "Places[HostT]":
-        """Returns just the worker of a number, if it isn't left out."""
+    def restricted_to(self, number: int) -> "HostPool[HostT]":
+        """Returns the set of the one worker with a number.
+
+        It is empty if the worker is excluded or unknown.
+        """
         ...
 
 
-class Few(Generic[HostT]):
-    """A few workers, looked at one by one."""
+class HostList(Generic[HostT]):
+    """A short list of workers; each choice evaluates all of them."""
 
-    def __init__(self, hosts: Iterable[HostT], view: View) -> None:
-        """Takes the workers and what is known beside them."""
+    def __init__(
+        self, hosts: Iterable[HostT], context: PlacementContext
+    ) -> None:
+        """Initializes the list with its workers and the context of `fit`."""
         self._hosts = list(hosts)
-        self._view = view
+        self._context = context
 
     @property
     def hosts(self) -> list[HostT]:
-        """Those that aren't left out."""
+        """Workers that are not excluded."""
         return list(self._hosts)
 
     def choose(self, task: Task, rack: str = "") -> HostT | None:
         """Returns the best worker for a task, or None if none has room."""
-        return choose(task, self._hosts, self._view, rack)
+        return choose(task, self._hosts, self._context, rack)
 
-    def close(self, host: HostT) -> None:
-        """Has a worker left out from now on."""
+    def exclude(self, host: HostT) -> None:
+        """Excludes a worker from later choices."""
         self._hosts.remove(host)
 
-    def only(self, number: int) -> "Few[HostT]":
-        """Returns just the worker of a number, if it isn't left out."""
-        return Few([h for h in self._hosts if h.number == number], self._view)
+    def restricted_to(self, number: int) -> "HostList[HostT]":
+        """Returns the list of the one worker with a number, or an empty one."""
+        return HostList(
+            [h for h in self._hosts if h.number == number], self._context
+        )
 
 
-class _Kind(NamedTuple):
-    """All that decides where a task fits, and how well.
+class _TaskClass(NamedTuple):
+    """The properties of a task that determine its fit on a worker.
 
     Attributes:
-        service: Service whose workers may run it.
-        size: What it asks for.
-        fills: Whether it takes only what is left over.
-        serves: Whether it has a target for its response times.
-        image: What it runs.
+        service: Service whose workers may run the task.
+        size: Requested resources.
+        fills: Whether the task is best-effort.
+        serves: Whether the task has a target for its response times.
+        image: Image that the task runs.
         label: Label that the worker must have, or "".
-        step: Its step if workers may run only some tasks of it, else None.
-        rack: Rack outside of which it isn't looked for, or "".
+        step: The task's step if it limits the tasks per worker, else None.
+        rack: The only rack whose workers are considered, or "" for all.
     """
 
     service: str
@@ -102,220 +110,238 @@
 
 
 class _Entry(NamedTuple):
-    """How badly tasks of a kind fit a worker; sorts by that.
+    """The cost of a worker for a task class; entries sort by cost.
 
     Attributes:
-        cost: As `fit` returns it, and penalties.
-        place: The worker's place in the field; the first of equals is taken.
-        version: The worker's when it was looked at.
+        cost: Result of `fit`, plus penalties.
+        position: The worker's position in the index. The lowest position wins
+            among equal costs.
+        version: The worker's version when it was evaluated.
     """
 
     cost: float
-    place: int
+    position: int
     version: int
 
 
 class _Shortlist:
-    """Workers for tasks of a kind, as far as they were looked at."""
+    """The workers evaluated for one task class, as a heap."""
 
-    def __init__(self, step: Step, places: Sequence[int]) -> None:
-        """Takes a step of the kind, and where to look first."""
+    def __init__(self, step: Step, positions: Sequence[int]) -> None:
+        """Initializes the list with a step of the class and its positions."""
         self.step = step
         self.committed = step.spec.committed
-        self.places = frozenset(places)
+        self.positions = frozenset(positions)
         self.entries: list[_Entry] = []
-        # Changes of the field that were taken in.
-        self.seen = 0
+        # Number of changes of the index that this list has applied.
+        self.changes_applied = 0
 
 
-class Field(Generic[HostT]):
-    """All workers that may be taken in a pass.
+class HostIndex(Generic[HostT]):
+    """Index of all workers that may be used in a pass.
 
-    Whoever gives a worker a task or takes one from it says so: `note_changed`.
-    What else a fit goes by can only shut workers out within a pass (a pair is
-    being tried, a target was missed), so that the best of a list is looked at
-    once more before it is taken, and no other.
+    Code that adds a task to a worker or removes one must call `note_changed`.
+    Any other input of `fit` can only exclude workers during a pass (a pair of
+    images starts its trial, a target was missed). It is therefore enough to
+    evaluate the best entry of a list again before it is used.
     """
 
-    def __init__(self, hosts: Iterable[HostT], view: View) -> None:
-        """Takes the workers and what is known beside them."""
+    def __init__(
+        self, hosts: Iterable[HostT], context: PlacementContext
+    ) -> None:
+        """Initializes the index with its workers and the context of `fit`."""
         self._hosts = list(hosts)
-        self._view = view
-        self._places = {h.number: place for place, h in enumerate(self._hosts)}
+        self._context = context
+        self._position_by_number = {
+            h.number: position for position, h in enumerate(self._hosts)
+        }
         self._versions = [0] * len(self._hosts)
         self._changes: list[int] = []
-        self._closed: set[int] = set()
-        # What is left over on each, and all images that serve; see `_open_to`.
-        self._left: list[int] = []
-        self._images: set[str] = set()
-        self._shortlists: dict[_Kind, _Shortlist] = {}
+        self._excluded: set[int] = set()
+        # Processor time left for best-effort tasks by position, and all serving
+        # images; filled by `_prefilter`.
+        self._free_best_effort: list[int] = []
+        self._serving_images: set[str] = set()
+        self._shortlists: dict[_TaskClass, _Shortlist] = {}
 
     @property
     def hosts(self) -> list[HostT]:
-        """Those that aren't left out."""
+        """Workers that are not excluded."""
         return [
             host
-            for place, host in enumerate(self._hosts)
-            if place not in self._closed
+            for position, host in enumerate(self._hosts)
+            if position not in self._excluded
         ]
 
-    def only(self, number: int) -> Few[HostT]:
-        """Returns just the worker of a number, if it isn't left out."""
-        place = self._places.get(number)
-        if place is None or place in self._closed:
-            return Few((), self._view)
-        return Few((self._hosts[place],), self._view)
+    def restricted_to(self, number: int) -> HostList[HostT]:
+        """Returns the list of the one worker with a number, or an empty one."""
+        position = self._position_by_number.get(number)
+        if position is None or position in self._excluded:
+            return HostList((), self._context)
+        return HostList((self._hosts[position],), self._context)
 
     def note_changed(self, host: HostT) -> None:
-        """Notes that a worker was given a task, or lost one."""
-        place = self._places.get(host.number)
-        if place is not None:
-            self._versions[place] += 1
-            if self._left:
-                self._left[place] = left_over(host)
-                self._images.update(host.serving)
-            self._changes.append(place)
-
-    def close(self, host: HostT) -> None:
-        """Has a worker left out from now on."""
-        self._closed.add(self._places[host.number])
+        """Records that a task was added to a worker or removed from it."""
+        position = self._position_by_number.get(host.number)
+        if position is not None:
+            self._versions[position] += 1
+            if self._free_best_effort:
+                self._free_best_effort[position] = left_over(host)
+                self._serving_images.update(host.serving)
+            self._changes.append(position)
+
+    def exclude(self, host: HostT) -> None:
+        """Excludes a worker from later choices."""
+        self._excluded.add(self._position_by_number[host.number])
         self.note_changed(host)
 
-    def reopen(self) -> None:
-        """Takes in again all that was left out."""
-        closed, self._closed = self._closed, set()
-        for place in closed:
-            self.note_changed(self._hosts[place])
+    def include_all(self) -> None:
+        """Includes all excluded workers again."""
+        excluded, self._excluded = self._excluded, set()
+        for position in excluded:
+            self.note_changed(self._hosts[position])
 
     def choose(self, task: Task, rack: str = "") -> HostT | None:
         """Returns the best worker for a task, or None if none has room."""
-        best = self._best(task, "")
+        best = self._best_in_rack(task, "")
         if best is None:
             return None
         wanted = wanted_rack(task.step.spec, rack)
         if wanted:
-            near = self._best(task, wanted)
-            if near is not None and near.cost <= best.cost + NOT_NEAR:
-                best = near
-        return self._hosts[best.place]
-
-    def _best(self, task: Task, rack: str) -> _Entry | None:
+            in_rack = self._best_in_rack(task, wanted)
+            if (
+                in_rack is not None
+                and in_rack.cost <= best.cost + OTHER_RACK_PENALTY
+            ):
+                best = in_rack
+        return self._hosts[best.position]
+
+    def _best_in_rack(self, task: Task, rack: str) -> _Entry | None:
         shortlist = self._shortlist(task.step, rack)
         if not task.failed_on:
-            return self._top(shortlist)
+            return self._best_current(shortlist)
         best: _Entry | None = None
-        passed: list[_Entry] = []
-        while (top := self._top(shortlist)) is not None:
+        examined: list[_Entry] = []
+        while (top := self._best_current(shortlist)) is not None:
             if best is not None and top >= best:
                 break
             entry = top
-            if self._hosts[top.place].number in task.failed_on:
-                entry = top._replace(cost=top.cost + FAILED_THERE)
+            if self._hosts[top.position].number in task.failed_on:
+                entry = top._replace(cost=top.cost + FAILED_THERE_PENALTY)
             best = entry if best is None else min(best, entry)
-            passed.append(heapq.heappop(shortlist.entries))
-        for entry in passed:
+            examined.append(heapq.heappop(shortlist.entries))
+        for entry in examined:
             heapq.heappush(shortlist.entries, entry)
         return best
 
     def _shortlist(self, step: Step, rack: str) -> _Shortlist:
-        """Returns what is known of a step's kind, brought up to date."""
-        kind = _kind_of(step, rack)
-        found = self._shortlists.get(kind)
+        """Returns the up-to-date shortlist of a step's task class."""
+        task_class = _task_class_of(step, rack)
+        found = self._shortlists.get(task_class)
         if found is None:
-            found = self._shortlists[kind] = _Shortlist(step, self._near(rack))
-            changed = self._open_to(step.spec, found.places)
-        elif found.seen == len(self._changes):
+            found = self._shortlists[task_class] = _Shortlist(
+                step, self._positions_in_rack(rack)
+            )
+            changed = self._prefilter(step.spec, found.positions)
+        elif found.changes_applied == len(self._changes):
             return found
         else:
-            changed = found.places.intersection(self._changes[found.seen :])
-        found.seen = len(self._changes)
-        for place in changed:
-            entry = self._look(found, place)
+            changed = found.positions.intersection(
+                self._changes[found.changes_applied :]
+            )
+        found.changes_applied = len(self._changes)
+        for position in changed:
+            entry = self._evaluate(found, position)
             if entry is not None:
                 heapq.heappush(found.entries, entry)
         return found
 
-    def _near(self, rack: str) -> list[int]:
+    def _positions_in_rack(self, rack: str) -> list[int]:
         return [
-            place
-            for place, host in enumerate(self._hosts)
+            position
+            for position, host in enumerate(self._hosts)
             if not rack or host.life.rack == rack
         ]
 
-    def _open_to(self, spec: StepSpec, places: Iterable[int]) -> Iterable[int]:
-        """Leaves out workers that are full or serve what shuts an image out.
+    def _prefilter(
+        self, spec: StepSpec, positions: Iterable[int]
+    ) -> Iterable[int]:
+        """Drops workers that are full or that exclude a best-effort image.
 
-        Where images that fill wait for room or for their first readings, that
-        is most of the cell: a look at each of them cost half of a pass.
+        While best-effort images wait for room or for their first measurements,
+        most workers of the cell are dropped here. Evaluating each of them took
+        half of a pass.
         """
         if not spec.fills:
-            return places
-        if not self._left:
-            self._left = [left_over(host) for host in self._hosts]
-            self._images.update(*(host.serving for host in self._hosts))
-        known = shut_out(spec, self._images, self._view)
-        hosts, left, least = self._hosts, self._left, spec.size.cpu
-        # Most are left out by what is quickly asked.
-        is_free = known.alone.isdisjoint
+            return positions
+        if not self._free_best_effort:
+            self._free_best_effort = [left_over(host) for host in self._hosts]
+            self._serving_images.update(*(host.serving for host in self._hosts))
+        known = exclusions_for(spec, self._serving_images, self._context)
+        hosts, left, least = self._hosts, self._free_best_effort, spec.size.cpu
+        # The cheap checks come first and drop most workers.
+        is_free = known.individually_blocking.isdisjoint
         return [
-            place
-            for place in places
-            if left[place] >= least
-            and is_free(hosts[place].serving)
-            and not known.shuts(hosts[place])
+            position
+            for position in positions
+            if left[position] >= least
+            and is_free(hosts[position].serving)
+            and not known.excludes(hosts[position])
         ]
 
-    def _look(self, shortlist: _Shortlist, place: int) -> _Entry | None:
-        """Returns how badly a worker fits, or None if it may not be taken."""
-        host = self._hosts[place]
-        if place in self._closed:
+    def _evaluate(self, shortlist: _Shortlist, position: int) -> _Entry | None:
+        """Returns the entry of a worker, or None if it may not be used."""
+        host = self._hosts[position]
+        if position in self._excluded:
             return None
         if not shortlist.committed.fits_in(host.free):
             return None
         if not may_run(host, shortlist.step):
             return None
-        cost = fit(shortlist.step.spec, host, self._view)
+        cost = fit(shortlist.step.spec, host, self._context)
         if cost == float("inf"):
             return None
-        return _Entry(cost, place, self._versions[place])
+        return _Entry(cost, position, self._versions[position])
 
-    def _top(self, shortlist: _Shortlist) -> _Entry | None:
-        """Returns the best of a list, as it is now."""
+    def _best_current(self, shortlist: _Shortlist) -> _Entry | None:
+        """Returns the best entry of a list, evaluated again if necessary."""
         entries = shortlist.entries
         while entries:
             top = entries[0]
-            if top.version == self._versions[top.place]:
+            if top.version == self._versions[top.position]:
                 if not shortlist.step.spec.fills:
                     return top
-                now = self._look(shortlist, top.place)
+                now = self._evaluate(shortlist, top.position)
                 if now == top:
                     return top
                 if now is not None:
                     heapq.heapreplace(entries, now)
                     continue
-                self._weed(shortlist)
+                self._prune_excluded(shortlist)
             heapq.heappop(entries)
         return None
 
-    def _weed(self, shortlist: _Shortlist) -> None:
-        """Drops all but the first that are kept out by what kept it out.
+    def _prune_excluded(self, shortlist: _Shortlist) -> None:
+        """Drops outdated and excluded entries behind the first one.
 
-        Two trials of a pair shut hundreds of workers at once.
+        Two trials of a pair of images can exclude hundreds of workers at once.
         """
         entries = shortlist.entries
-        known = shut_out(shortlist.step.spec, self._images, self._view)
+        known = exclusions_for(
+            shortlist.step.spec, self._serving_images, self._context
+        )
         entries[1:] = [
             entry
             for entry in entries[1:]
-            if entry.version == self._versions[entry.place]
-            and not known.shuts(self._hosts[entry.place])
+            if entry.version == self._versions[entry.position]
+            and not known.excludes(self._hosts[entry.position])
         ]
         heapq.heapify(entries)
 
 
-def _kind_of(step: Step, rack: str) -> _Kind:
+def _task_class_of(step: Step, rack: str) -> _TaskClass:
     spec = step.spec
-    return _Kind(
+    return _TaskClass(
         step.job.queue.service,
         spec.size,
         spec.fills,
--- a/pimentocross/placement/host.py
+++ b/pimentocross/placement/host.py
@@ -1,4 +1,4 @@
-"""A worker as a place for tasks, and what still fits on it."""
+"""The view of a worker that placement needs, and what still fits on it."""
 
 from collections.abc import Mapping
 from typing import Final, Protocol
@@ -7,60 +7,69 @@
 from pimentocross.work.spec import Size
 from pimentocross.work.state import Step
 
-# Share of what serving tasks ask for that they use.
-SERVING_LOAD: Final = 0.42
+# Share of their reserved processor time that serving tasks use.
+SERVING_USE_SHARE: Final = 0.42
 
 
 class Host(Protocol):
-    """A worker as a place for tasks."""
+    """A worker with its capacity, its load and its restrictions."""
 
     @property
     def life(self) -> WorkerLife:
-        """As listed."""
+        """The worker life as listed by the directory."""
         ...
 
     @property
     def number(self) -> int:
-        """Its number in the roster."""
+        """The worker's number in the roster."""
         ...
 
     @property
     def free(self) -> Size:
-        """What is not committed."""
+        """Resources that are not committed."""
         ...
 
     @property
     def serving(self) -> Mapping[str, int]:
-        """Processor time that serving tasks ask for, thousandths by image."""
+        """Processor time requested by serving tasks, by image.
+
+        In thousandths of a core.
+        """
         ...
 
     @property
     def filling(self) -> Mapping[str, int]:
-        """The same of tasks that fill."""
+        """Processor time requested by best-effort tasks, by image.
+
+        In thousandths of a core.
+        """
         ...
 
     @property
     def filled(self) -> int:
-        """Processor time that all tasks that fill ask for, thousandths."""
+        """Processor time requested by all best-effort tasks.
+
+        In thousandths of a core.
+        """
         ...
 
     @property
-    def suffers(self) -> bool:
-        """True if a task that serves there is over its target."""
+    def misses_target(self) -> bool:
+        """True if a serving task on the worker exceeds its target."""
         ...
 
     @property
     def is_isolating(self) -> bool:
-        """True while an isolated run keeps others off."""
+        """True while an isolated run excludes other tasks."""
         ...
 
     def count_of(self, step: Step) -> int:
-        """Returns how many runs of a step may be on it."""
+        """Returns how many runs of a step may exist on the worker."""
         ...
 
 
 def may_run(host: Host, step: Step) -> bool:
-    """True if a worker may run one more task of a step, if it has room."""
+    """True if a worker may run one more task of a step, room aside."""
     spec = step.spec
     if host.is_isolating:
         return False
@@ -72,18 +81,25 @@
 
 
 def allows(host: Host, step: Step) -> bool:
-    """True if a worker may run a step at all and has room for a task."""
+    """True if a worker may run a task of a step and has room for it."""
     return may_run(host, step) and step.spec.committed.fits_in(host.free)
 
 
 def left_over(host: Host) -> int:
-    """Returns the processor time that more tasks that fill may ask for."""
-    return left_to_fill(host) - host.filled
+    """Returns the processor time left for more best-effort tasks.
+
+    In thousandths of a core.
+    """
+    return best_effort_cpu_limit(host) - host.filled
+
 
+def best_effort_cpu_limit(host: Host) -> int:
+    """Returns the processor time that best-effort tasks may request in all.
 
-def left_to_fill(host: Host) -> int:
-    """Returns the processor time that all tasks that fill may ask for."""
+    This is what other tasks have not reserved, plus what serving tasks reserve
+    and leave unused, in thousandths of a core.
+    """
     reserved = host.life.capacity.cpu - host.free.cpu
     serving = sum(host.serving.values())
-    used = reserved - int(serving * (1 - SERVING_LOAD))
+    used = reserved - int(serving * (1 - SERVING_USE_SHARE))
     return host.life.capacity.cpu - used
--- a/pimentocross/placement/hosts.py
+++ b/pimentocross/placement/hosts.py
@@ -1,9 +1,13 @@
-"""On which worker a task is started.
+"""Chooses the worker on which a task is started.
 
-Load pattern: wide steps of small and large tasks beside tasks that serve and
-tasks that fill. Tasks go where they fit tightest, so that room for large ones
-is left elsewhere; tasks that fill go to workers that serve nobody first, then
-to those where they are expected to do no harm, and wait if there is none.
+Serving tasks have a target for their response times. Best-effort tasks
+(`fills`) use the processor time that other tasks reserve and leave unused.
+
+Load pattern: wide steps of small and large tasks run beside serving and
+best-effort tasks. A task goes to the worker with the tightest fit, which leaves
+room for large tasks on the others. A best-effort task goes to a worker without
+serving tasks if there is one, else to a worker whose serving tasks it is not
+expected to slow too much, else it waits.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -12,65 +16,70 @@
 
 from pimentocross.placement.disturbance import Disturbance
 from pimentocross.placement.host import Host, allows, left_over
-from pimentocross.placement.layout import Compatibility, Outlook, bears
+from pimentocross.placement.layout import (
+    CapacityValue,
+    Compatibility,
+    tolerates,
+)
 from pimentocross.placement.probes import Probes
 from pimentocross.work.spec import StepSpec
 from pimentocross.work.state import Task
 
-# Penalties outweigh the fit, which is at most 3.
-NOT_NEAR: Final = 10.0
-FAILED_THERE: Final = 50.0
-# A task fills beside serving ones only if what fills there is expected to
-# raise the logarithm of their tail by no more: from the usual 0.45 of the
-# target to 0.67.
-HARM_MOST: Final = 0.4
-# A worker that serves nobody is taken after those that serve the same image,
-# before those that serve others.
-_SERVES_NOBODY: Final = 0.8
-
-
-# A worker where a doubtful pair would be tried again comes after all others.
-_RETRY: Final = 5.0
-# Closing a worker to what has no other room outweighs the fit.
-_CLOSED: Final = 4.0
-# What fills takes a worker that is open to what has no other room last.
-_TAKEN_FROM_OTHERS: Final = 0.3
+# Added to the fit, which is at most 3, so that penalties outweigh it.
+OTHER_RACK_PENALTY: Final = 10.0
+FAILED_THERE_PENALTY: Final = 50.0
+# Highest increase of the logarithm of a serving image's tail latency that all
+# best-effort tasks on the worker may be expected to cause. An increase of 0.4
+# raises the tail from the usual 0.45 of its target to 0.67.
+MAX_HARM: Final = 0.4
+# Cost of a worker without serving tasks: between the cost of a worker that
+# serves only the same image (0) and that of one that serves others (above 1).
+_NOT_SERVING_COST: Final = 0.8
+# Ranks a worker on which a pair of images would be retried behind all others.
+_RETRY_PENALTY: Final = 5.0
+# Highest cost of making a worker unusable for scarce best-effort images. It
+# outweighs the fit.
+_MAX_CLOSING_COST: Final = 4.0
+# Weight of the scarcity of room for other best-effort images that could use the
+# worker. A best-effort task takes workers that scarcer images need last.
+_OTHERS_SCARCITY_WEIGHT: Final = 0.3
 
 HostT = TypeVar("HostT", bound=Host)
 
 
-class View(NamedTuple):
-    """What is known beside the workers.
+class PlacementContext(NamedTuple):
+    """Knowledge beyond the workers themselves that placement uses.
 
     Attributes:
-        disturbance: Which images disturb which.
-        outlook: What the workers' room is worth to what fills.
-        probes: Pairs of images that are being tried.
+        disturbance: Estimates of how much each best-effort image slows each
+            serving image.
+        capacity_value: Values the workers' room for best-effort tasks.
+        probes: Pairs of images that run together to learn how they interfere.
     """
 
     disturbance: Disturbance
-    outlook: Outlook
+    capacity_value: CapacityValue
     probes: Probes
 
 
-def plain_view(disturbance: Disturbance) -> View:
-    """Returns a view in which there is room for all that fills."""
-    outlook = Outlook({}, Compatibility((), disturbance))
-    return View(disturbance, outlook, Probes(disturbance))
+def unconstrained_context(disturbance: Disturbance) -> PlacementContext:
+    """Returns a context in which no best-effort image lacks room."""
+    capacity_value = CapacityValue({}, Compatibility((), disturbance))
+    return PlacementContext(disturbance, capacity_value, Probes(disturbance))
 
 
 def choose(
     task: Task,
     hosts: Sequence[HostT],
-    view: View,
+    context: PlacementContext,
     rack: str = "",
 ) -> HostT | None:
     """Returns the best worker for a task, or None if none has room.
 
     Args:
-        task: What is to be started.
+        task: The task to start.
         hosts: Workers that may be used.
-        view: What is known beside them.
+        context: Interference, value of room and probes.
         rack: Rack that the step's other tasks are on, or "".
     """
     best: HostT | None = None
@@ -78,7 +87,7 @@
     for host in hosts:
         if not allows(host, task.step):
             continue
-        cost = fit(task.step.spec, host, view)
+        cost = fit(task.step.spec, host, context)
         if cost < least:
             cost += penalties(task, host, rack)
         if cost < least:
@@ -86,127 +95,143 @@
     return best
 
 
-def fit(spec: StepSpec, host: Host, view: View) -> float:
-    """Returns how badly a task fits, infinite if it should not be there."""
+def fit(spec: StepSpec, host: Host, context: PlacementContext) -> float:
+    """Returns the cost of a worker for a task: lower fits better.
+
+    It is infinite if a best-effort task must not start on the worker.
+    """
     if spec.fills:
-        return _fit_of_filler(spec, host, view)
+        return _best_effort_fit(spec, host, context)
     cost = (host.free.cpu - spec.size.cpu) / max(host.life.capacity.cpu, 1)
     if spec.target_tail:
         cost += _strangeness(spec.image, host)
-        cost += view.disturbance.added(spec.image, _loads(host))
-        cost += _closing(spec, host, view.outlook)
+        cost += context.disturbance.added(spec.image, _loads(host))
+        cost += _closing(spec, host, context.capacity_value)
     return cost
 
 
-def _closing(spec: StepSpec, host: Host, outlook: Outlook) -> float:
-    """Returns the cost of shutting out what fills, 0 to `_CLOSED`."""
-    if outlook.is_plain:
+def _closing(
+    spec: StepSpec, host: Host, capacity_value: CapacityValue
+) -> float:
+    """Returns the cost of best-effort room lost, 0 to `_MAX_CLOSING_COST`."""
+    if capacity_value.is_unconstrained:
         return 0.0
-    lost = outlook.lost_by(host, spec.image, spec.size.cpu)
-    return _CLOSED * lost / max(host.life.capacity.cpu, 1)
+    lost = capacity_value.value_lost_to(host, spec.image, spec.size.cpu)
+    return _MAX_CLOSING_COST * lost / max(host.life.capacity.cpu, 1)
 
 
 def _strangeness(image: str, host: Host) -> float:
-    """Returns 0 for a host that serves just this image, up to 2 for others.
+    """Returns the cost of mixing a serving image with others, 0 to 2.
 
-    The fewer images a worker serves, the more tasks may fill beside them.
+    It is 0 for a worker that serves only this image. The fewer images a worker
+    serves, the more best-effort tasks are compatible with it.
     """
-    whole = sum(host.serving.values())
-    if not whole:
-        return _SERVES_NOBODY
-    others = 1.0 - host.serving.get(image, 0) / whole
+    serving_cpu = sum(host.serving.values())
+    if not serving_cpu:
+        return _NOT_SERVING_COST
+    others = 1.0 - host.serving.get(image, 0) / serving_cpu
     return 1.0 + others if others else 0.0
 
 
-def _fit_of_filler(spec: StepSpec, host: Host, view: View) -> float:
-    disturbance = view.disturbance
+def _best_effort_fit(
+    spec: StepSpec, host: Host, context: PlacementContext
+) -> float:
+    disturbance = context.disturbance
     capacity = max(host.life.capacity.cpu, 1)
     left = left_over(host) - spec.size.cpu
-    if left < 0 or host.suffers:
+    if left < 0 or host.misses_target:
         return math.inf
-    wanted = view.outlook.wanted_by_others(host, spec.image)
-    fit = 1.0 - left / capacity + _TAKEN_FROM_OTHERS * wanted
+    others_scarcity = context.capacity_value.wanted_by_others(host, spec.image)
+    fit = 1.0 - left / capacity + _OTHERS_SCARCITY_WEIGHT * others_scarcity
     serving = host.serving
     if not serving:
         return fit
-    if not bears(serving, spec.image, disturbance):
-        scarcity = view.outlook.scarcity(spec.image)
-        if view.probes.may_retry(spec.image, host, scarcity):
-            return fit + _RETRY
+    if not tolerates(serving, spec.image, disturbance):
+        scarcity = context.capacity_value.scarcity(spec.image)
+        if context.probes.may_retry(spec.image, host, scarcity):
+            return fit + _RETRY_PENALTY
         return math.inf
-    if not view.probes.allows(spec.image, host):
+    if not context.probes.allows(spec.image, host):
         return math.inf
     loads = _loads(host)
     loads[spec.image] = loads.get(spec.image, 0.0) + spec.size.cpu / capacity
     harm = max(disturbance.added(image, loads) for image in serving)
-    return fit + 1.0 + harm if harm <= HARM_MOST else math.inf
+    return fit + 1.0 + harm if harm <= MAX_HARM else math.inf
 
 
-class ShutOut(NamedTuple):
-    """Serving images by which a filling image is kept out.
+class Exclusions(NamedTuple):
+    """Serving images that keep a best-effort image off a worker.
 
     Attributes:
-        filling: The image that is kept out.
-        bad: Those that surely suffer by it.
-        surely: Those of them beside which it isn't tried again either.
-        untried: Those beside which hardly anything was seen of it yet.
-        on_trial: Those beside which it is being tried on enough workers.
+        filling: The best-effort image.
+        disturbed: Serving images that it certainly slows.
+        not_retried: Those of `disturbed` beside which it is not retried.
+        untried: Serving images beside which it has hardly been measured.
+        on_trial: Those of `untried` beside which it already runs on as many
+            workers as a trial may use.
     """
 
     filling: str
-    bad: frozenset[str]
-    surely: frozenset[str]
+    disturbed: frozenset[str]
+    not_retried: frozenset[str]
     untried: frozenset[str]
     on_trial: frozenset[str]
 
     @property
-    def alone(self) -> frozenset[str]:
-        """Those of which one is enough, whatever else is on a worker."""
-        if self.bad == self.surely:
-            return self.surely | self.on_trial
-        return self.surely
+    def individually_blocking(self) -> frozenset[str]:
+        """Serving images that block a worker whatever else runs on it."""
+        if self.disturbed == self.not_retried:
+            return self.not_retried | self.on_trial
+        return self.not_retried
 
-    def shuts(self, host: Host) -> bool:
-        """True if `fit` is infinite there.
+    def excludes(self, host: Host) -> bool:
+        """True if `fit` is infinite on a worker because of these images.
 
-        It says in sets what `fit` says a host at a time; the random days of
-        the tests of `field` compare both.
+        It repeats with sets the rule that `fit` applies to one worker at a
+        time. `tests/test_field.py` compares both on random loads.
         """
         serving = host.serving
-        if not self.surely.isdisjoint(serving):
+        if not self.not_retried.isdisjoint(serving):
             return True
-        hindering = self.on_trial
+        blocking = self.on_trial
         if self.filling in host.filling:
-            hindering = self.untried
-        # Beside a pair that is tried again, one on trial is no hindrance.
-        return not hindering.isdisjoint(serving) and self.bad.isdisjoint(
+            blocking = self.untried
+        # An untried pair does not block a worker on which a disturbed pair is
+        # retried.
+        return not blocking.isdisjoint(serving) and self.disturbed.isdisjoint(
             serving
         )
 
 
-def shut_out(spec: StepSpec, images: Iterable[str], view: View) -> ShutOut:
-    """Returns by what a task that fills is kept out.
+def exclusions_for(
+    spec: StepSpec, images: Iterable[str], context: PlacementContext
+) -> Exclusions:
+    """Returns the serving images that exclude a best-effort task.
 
     Args:
         spec: The task's step.
-        images: Serving images to look at.
-        view: What is known of pairs.
+        images: Serving images to check.
+        context: Interference, scarcity and probes of image pairs.
     """
-    known, filling = view.disturbance, spec.image
-    retries = view.probes.retries(filling, view.outlook.scarcity(filling))
-    bad = frozenset(image for image in images if known.is_bad(image, filling))
-    surely = frozenset(
+    known, filling = context.disturbance, spec.image
+    retries = context.probes.retries(
+        filling, context.capacity_value.scarcity(filling)
+    )
+    disturbed = frozenset(
+        image for image in images if known.is_bad(image, filling)
+    )
+    not_retried = frozenset(
         image
-        for image in bad
+        for image in disturbed
         if not (retries and known.is_doubtful(image, filling))
     )
     untried = frozenset(
         image for image in images if known.is_untried(image, filling)
     )
     on_trial = frozenset(
-        image for image in untried if view.probes.is_on_trial(image, filling)
+        image for image in untried if context.probes.is_on_trial(image, filling)
     )
-    return ShutOut(filling, bad, surely, untried, on_trial)
+    return Exclusions(filling, disturbed, not_retried, untried, on_trial)
 
 
 def _loads(host: Host) -> dict[str, float]:
@@ -215,19 +240,19 @@
 
 
 def penalties(task: Task, host: Host, rack: str) -> float:
-    """Returns what speaks against a worker for one task of a step."""
+    """Returns the cost of an earlier failure on a worker and of its rack."""
     spec = task.step.spec
     cost = 0.0
     if host.number in task.failed_on:
-        cost += FAILED_THERE
+        cost += FAILED_THERE_PENALTY
     wanted = wanted_rack(spec, rack)
     if wanted and host.life.rack != wanted:
-        cost += NOT_NEAR
+        cost += OTHER_RACK_PENALTY
     return cost
 
 
 def wanted_rack(spec: StepSpec, rack: str) -> str:
-    """Returns the rack that a task should be on, or "".
+    """Returns the preferred rack of a task, or "".
 
     Args:
         spec: The task's step.
@@ -237,7 +262,7 @@
 
 
 def common_rack(tasks: Iterable[Task], rack_of: Mapping[int, str]) -> str:
-    """Returns the rack that most runs of a step's tasks are on, or ""."""
+    """Returns the rack with most runs of a step's tasks, or ""."""
     counts: dict[str, int] = {}
     for task in tasks:
         for run in task.runs.values():
--- a/pimentocross/placement/interference.py
+++ b/pimentocross/placement/interference.py
@@ -62,7 +62,7 @@
         that it is tried once in a while, and cheaply.
         """
         known = self.estimate(victim, neighbour, band)
-        hope = const.EXPLORATION * math.sqrt(known.variance)
+        hope = const.EXPLORATION_WEIGHT * math.sqrt(known.variance)
         return max(known.mean - hope, 0.0)
 
     def slowdown(
@@ -115,7 +115,7 @@
         if known is None:
             return _UNKNOWN._replace(at=now)
         grown = known.variance + const.DRIFT_VARIANCE * (now - known.at)
-        return known._replace(variance=min(grown, const.VARIANCE_MOST), at=now)
+        return known._replace(variance=min(grown, const.MAX_VARIANCE), at=now)
 
 
 class NeighbourHistory:
@@ -129,7 +129,7 @@
         """Notes what runs from now on."""
         self._past.append(Neighbours(now, dict(classes), band))
         while len(self._past) > 1 and (
-            self._past[1].since < now - const.HISTORY
+            self._past[1].since < now - const.NEIGHBOUR_HISTORY_SECONDS
         ):
             self._past.popleft()
 
--- a/pimentocross/placement/layout.py
+++ b/pimentocross/placement/layout.py
@@ -1,81 +1,91 @@
-"""What the way that serving tasks lie over the workers is worth.
-
-Load pattern: tasks that serve reserve nine tenths of the room and use less
-than half of it. Each of their images bears some filling images and not
-others, and one task is enough to shut a filling image out of its worker. They
-were placed before that was known, so a third of the workers are closed to all
-that waits: on a played day 200 of 896 cores were idle for that reason alone,
-beside 300 waiting tasks.
-
-A worker is worth the processor time that it leaves to what fills, times how
-scarce room is for the scarcest image that it is open to. Serving tasks are
-placed, and moved (see `moves`), so that the room becomes worth more.
+"""Values the workers' room for best-effort tasks, given their serving tasks.
+
+Load pattern: serving tasks reserve nine tenths of the processor time and use
+less than half of it. Each serving image tolerates some best-effort images and
+not others, and one serving task is enough to exclude a best-effort image from
+its worker. The serving tasks were placed before this was known, so that a third
+of the workers exclude all waiting best-effort tasks. On a simulated day 200 of
+896 cores were idle for this reason alone, while 300 tasks waited.
+
+The value of a worker is the processor time that it leaves to best-effort tasks,
+times the scarcity of room for the scarcest image that it admits. Serving tasks
+are placed, and moved (see `moves`), so that this value grows.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Final, NamedTuple
 
 from pimentocross.placement.disturbance import Disturbance
-from pimentocross.placement.host import SERVING_LOAD, Host, left_to_fill
-
-# A worker of which a share is taken by what closes it is worth that much
-# less than an open one, to this power. Above 1, opening one worker after the
-# other is worth more than opening all of them by half; at 3 the first of
-# several moves gained too little to be made.
+from pimentocross.placement.host import (
+    SERVING_USE_SHARE,
+    Host,
+    best_effort_cpu_limit,
+)
+
+# The value of a worker whose blocking tasks take a share s of its processor
+# time is (1 - s) to this power, relative to a worker without any. Above 1,
+# clearing one worker after the other gains more than clearing all of them by
+# half. At 3 the first of several moves gained too little to be made.
 _OPENNESS_POWER: Final = 2
-# One image is enough to fill a worker; this share of its worth is by how many
-# images may, as the next jobs are of any of them.
-_BREADTH: Final = 0.3
-# Rounds in which room is shared out among images, until the shares settle.
+# Share of a worker's value that depends on how many images it admits; the rest
+# depends on the scarcest one. One image is enough to use a worker, but the next
+# jobs may be of any image.
+_BREADTH_WEIGHT: Final = 0.3
+# Number of rounds of dividing room among images, until the shares settle.
 _ROUNDS: Final = 3
-# Images for which there is this many times the room are left out.
-_PLENTY: Final = 5.0
+# Images with at least this many times the requested room count as not scarce.
+_AMPLE_ROOM_FACTOR: Final = 5.0
 
 
 class Compatibility:
-    """Which filling images each serving image surely suffers by."""
+    """Tells which best-effort images certainly slow which serving images."""
 
     def __init__(
         self, filling: Iterable[str], disturbance: Disturbance
     ) -> None:
-        """Takes the filling images that matter and what is known of pairs."""
+        """Initializes it with best-effort images and interference estimates."""
         self._filling = tuple(filling)
         self._disturbance = disturbance
-        self._shut_out: dict[str, frozenset[str]] = {}
+        self._excluded: dict[str, frozenset[str]] = {}
 
-    def shut_out_by(self, serving: str) -> frozenset[str]:
-        """Returns the filling images that a serving image can't bear."""
-        found = self._shut_out.get(serving)
+    def excluded_by(self, serving: str) -> frozenset[str]:
+        """Returns the best-effort images that a serving image excludes."""
+        found = self._excluded.get(serving)
         if found is None:
             found = frozenset(
                 image
                 for image in self._filling
                 if self._disturbance.is_bad(serving, image)
             )
-            self._shut_out[serving] = found
+            self._excluded[serving] = found
         return found
 
-    def open_to(self, serving: Iterable[str]) -> list[str]:
-        """Returns the filling images that a worker is open to."""
-        shut = frozenset[str]().union(*map(self.shut_out_by, serving))
-        return [image for image in self._filling if image not in shut]
+    def admitted_images(self, serving: Iterable[str]) -> list[str]:
+        """Returns the best-effort images that all serving images admit."""
+        excluded_images = frozenset[str]().union(
+            *map(self.excluded_by, serving)
+        )
+        return [
+            image for image in self._filling if image not in excluded_images
+        ]
 
 
-def bears(
+def tolerates(
     serving: Iterable[str], filling: str, disturbance: Disturbance
 ) -> bool:
-    """True if none of the images that serve surely suffers by one."""
-    for image in serving:  # noqa: SIM110 - a third quicker than any().
+    """True if no serving image is certainly slowed by a best-effort image."""
+    for image in serving:  # noqa: SIM110 - a third faster than any().
         if disturbance.is_bad(image, filling):
             return False
     return True
 
 
 class Scarcity(NamedTuple):
-    """How scarce room to fill is.
+    """How scarce room for best-effort tasks is.
 
     Attributes:
-        shares: 0 to 1 for each image; those with plenty are left out.
+        shares: Scarcity by image, 0 to 1, without the images that have ample
+            room.
         worst: The image that lacks most processor time, or "".
     """
 
@@ -88,184 +98,195 @@
     hosts: Sequence[Host],
     compatibility: Compatibility,
 ) -> Scarcity:
-    """Returns how scarce room is for each filling image.
+    """Returns how scarce room is for each best-effort image.
 
-    The room of each worker is shared out among the images that it is open to,
-    in proportion to what they lack.
+    The room of each worker is divided among the images that it admits, in
+    proportion to what they lack.
 
     Args:
-        demand: Thousandths of a core asked for by tasks that fill or wait to.
+        demand: Processor time requested by running and waiting best-effort
+            tasks, by image, in thousandths of a core.
         hosts: Workers in use.
-        compatibility: Which images go together.
+        compatibility: Which images may share a worker.
     """
-    open_to: dict[tuple[str, ...], tuple[str, ...]] = {}
-    rooms: list[tuple[int, tuple[str, ...]]] = []
+    admitted_images: dict[tuple[str, ...], tuple[str, ...]] = {}
+    host_rooms: list[tuple[int, tuple[str, ...]]] = []
     for host in hosts:
-        room = left_to_fill(host)
+        room = best_effort_cpu_limit(host)
         if room > 0:
             serving = tuple(host.serving)
-            images = open_to.get(serving)
+            images = admitted_images.get(serving)
             if images is None:
-                images = tuple(compatibility.open_to(serving))
-                open_to[serving] = images
-            rooms.append((room, images))
+                images = tuple(compatibility.admitted_images(serving))
+                admitted_images[serving] = images
+            host_rooms.append((room, images))
     weights = {image: float(wanted) for image, wanted in demand.items()}
-    lacking = dict.fromkeys(demand, 1.0)
-    found: dict[str, float] = {}
+    lack_ratios = dict.fromkeys(demand, 1.0)
+    granted: dict[str, float] = {}
     for _ in range(_ROUNDS):
-        found = dict.fromkeys(demand, 1.0)
-        # Workers that serve the same share out among the same images.
-        wholes = {
+        granted = dict.fromkeys(demand, 1.0)
+        # Computed once for workers with the same serving images.
+        total_weights = {
             images: max(sum(weights[image] for image in images), 1.0)
-            for images in open_to.values()
+            for images in admitted_images.values()
         }
-        for room, images in rooms:
-            whole = wholes[images]
+        for room, images in host_rooms:
+            total_weight = total_weights[images]
             for image in images:
-                found[image] += room * weights[image] / whole
-        lacking = {i: wanted / found[i] for i, wanted in demand.items()}
+                granted[image] += room * weights[image] / total_weight
+        lack_ratios = {i: wanted / granted[i] for i, wanted in demand.items()}
         weights = {
-            i: max(weight * min(lacking[i], 2.0), 1.0)
+            i: max(weight * min(lack_ratios[i], 2.0), 1.0)
             for i, weight in weights.items()
         }
     shares = {
         image: min(lack, 1.0) ** 2
-        for image, lack in lacking.items()
-        if lack * _PLENTY > 1.0
+        for image, lack in lack_ratios.items()
+        if lack * _AMPLE_ROOM_FACTOR > 1.0
     }
-    missing = {i: wanted - found[i] for i, wanted in demand.items()}
+    missing = {i: wanted - granted[i] for i, wanted in demand.items()}
     worst = max(shares, key=lambda image: missing[image], default="")
     return Scarcity(shares, worst)
 
 
-class Outlook:
-    """What a worker's room is worth to what fills and waits to.
+class CapacityValue:
+    """Computes the value of a worker's room to best-effort tasks.
 
     Attributes:
-        target: Image for which workers are being opened, or "".
+        opened_image: Best-effort image for which workers are being cleared of
+            blocking serving tasks, or "".
     """
 
     def __init__(
         self,
         scarcity: Mapping[str, float],
         compatibility: Compatibility,
-        target: str = "",
+        opened_image: str = "",
     ) -> None:
-        """Takes how things are.
+        """Initializes the values from the present scarcity.
 
         Args:
             scarcity: How scarce room is for each image, see `scarcities`.
-            compatibility: Which images go together.
-            target: Image for which workers are being opened. For it alone
-                those that are nearly open count: with several at once, moves
-                for one were seen to undo those for another.
+            compatibility: Which images may share a worker.
+            opened_image: Image for which workers are being cleared. Only for
+                this image does a partly cleared worker have a value: with
+                several images at once, moves for one undid those for another.
         """
-        self.target = target
+        self.opened_image = opened_image
         self._scarcity = scarcity
-        self._all_scarcity = sum(scarcity.values())
+        self._total_scarcity = sum(scarcity.values())
         self._images = tuple(scarcity)
         self._compatibility = compatibility
-        self._closes: dict[str, tuple[int, ...]] = {}
-        # What `wanted_by_others` returned, by what serves and the image.
-        self._wanted: dict[tuple[tuple[str, ...], str], float] = {}
+        self._blocked_indexes: dict[str, tuple[int, ...]] = {}
+        # Cached results of `wanted_by_others`, by serving images and image.
+        self._others_scarcity: dict[tuple[tuple[str, ...], str], float] = {}
 
     @property
-    def is_plain(self) -> bool:
-        """True if there is room enough for all that fills."""
+    def is_unconstrained(self) -> bool:
+        """True if no best-effort image lacks room."""
         return not self._scarcity
 
     def scarcity(self, image: str) -> float:
-        """Returns how scarce room is for a filling image, 0 to 1."""
+        """Returns how scarce room is for a best-effort image, 0 to 1."""
         return self._scarcity.get(image, 0.0)
 
-    def shut_out_by(self, serving: str) -> frozenset[str]:
-        """Returns the filling images that a serving image can't bear."""
-        return self._compatibility.shut_out_by(serving)
+    def excluded_by(self, serving: str) -> frozenset[str]:
+        """Returns the best-effort images that a serving image excludes."""
+        return self._compatibility.excluded_by(serving)
+
+    def blocked_indexes(self, serving: str) -> tuple[int, ...]:
+        """Returns the images that a serving image excludes.
 
-    def closes(self, serving: str) -> tuple[int, ...]:
-        """Returns the places, in `closing`, of the images that it shuts out."""
-        found = self._closes.get(serving)
+        They are given by their indexes in the result of `blocking_cpu`.
+        """
+        found = self._blocked_indexes.get(serving)
         if found is None:
-            shut_out = self.shut_out_by(serving)
+            excluded = self.excluded_by(serving)
             found = tuple(
                 index
                 for index, image in enumerate(self._images)
-                if image in shut_out
+                if image in excluded
             )
-            self._closes[serving] = found
+            self._blocked_indexes[serving] = found
         return found
 
-    def closing(self, serving: Mapping[str, int]) -> list[int]:
-        """Returns what closes a worker to each scarce image.
+    def blocking_cpu(self, serving: Mapping[str, int]) -> list[int]:
+        """Returns, by scarce image, the processor time of tasks that block it.
 
         Args:
-            serving: What serving tasks ask for on it, by image.
+            serving: Processor time requested by serving tasks on the worker, by
+                image, in thousandths of a core.
         """
-        closing = [0] * len(self._images)
+        blocking_cpu = [0] * len(self._images)
         for image, cpu in serving.items():
-            for index in self.closes(image):
-                closing[index] += cpu
-        return closing
+            for index in self.blocked_indexes(image):
+                blocking_cpu[index] += cpu
+        return blocking_cpu
 
-    def worth(
-        self, room: float, closing: Sequence[int], capacity: int
+    def usable_value(
+        self, room: float, blocking_cpu: Sequence[int], capacity: int
     ) -> float:
-        """Returns what a worker's room is worth, thousandths of a core.
+        """Returns the value of a worker's room, in thousandths of a core.
 
         Args:
-            room: Processor time that it leaves to what fills.
-            closing: As `closing` returns it.
-            capacity: All of its processor time.
+            room: Processor time that the worker leaves to best-effort tasks.
+            blocking_cpu: Result of the method `blocking_cpu`.
+            capacity: All of the worker's processor time.
         """
-        if room <= 0 or not closing:
+        if room <= 0 or not blocking_cpu:
             return 0.0
-        best = whole = 0.0
-        for image, closed in zip(self._images, closing, strict=True):
-            if closed <= 0:
+        best = total_value = 0.0
+        for image, blocking in zip(self._images, blocking_cpu, strict=True):
+            if blocking <= 0:
                 value = self._scarcity[image]
-            elif image == self.target:
-                value = self._scarcity[image] * _openness(closed, capacity)
+            elif image == self.opened_image:
+                value = self._scarcity[image] * _openness(blocking, capacity)
             else:
                 continue
             best = max(best, value)
-            whole += value
-        breadth = whole / self._all_scarcity
-        return room * ((1 - _BREADTH) * best + _BREADTH * breadth)
+            total_value += value
+        breadth = total_value / self._total_scarcity
+        return room * ((1 - _BREADTH_WEIGHT) * best + _BREADTH_WEIGHT * breadth)
 
-    def lost_by(self, host: Host, image: str, cpu: int) -> float:
-        """Returns what a worker's room loses in worth by a serving task."""
+    def value_lost_to(self, host: Host, image: str, cpu: int) -> float:
+        """Returns the value that a worker loses to a new serving task."""
         capacity = host.life.capacity.cpu
-        room = left_to_fill(host)
-        closing = self.closing(host.serving)
-        before = self.worth(room, closing, capacity)
-        for index in self.closes(image):
-            closing[index] += cpu
-        return before - self.worth(room - cpu * SERVING_LOAD, closing, capacity)
+        room = best_effort_cpu_limit(host)
+        blocking_cpu = self.blocking_cpu(host.serving)
+        before = self.usable_value(room, blocking_cpu, capacity)
+        for index in self.blocked_indexes(image):
+            blocking_cpu[index] += cpu
+        return before - self.usable_value(
+            room - cpu * SERVING_USE_SHARE, blocking_cpu, capacity
+        )
 
     def wanted_by_others(self, host: Host, image: str) -> float:
-        """Returns how scarce room is for the other images that bear a host."""
-        if self.is_plain:
+        """Returns the highest scarcity of other images that a worker admits."""
+        if self.is_unconstrained:
             return 0.0
         key = (tuple(host.serving), image)
-        found = self._wanted.get(key)
+        found = self._others_scarcity.get(key)
         if found is None:
-            found = self._wanted[key] = max(
+            found = self._others_scarcity[key] = max(
                 (
                     self._scarcity[other]
-                    for other, closed in zip(
-                        self._images, self.closing(host.serving), strict=True
+                    for other, blocking in zip(
+                        self._images,
+                        self.blocking_cpu(host.serving),
+                        strict=True,
                     )
-                    if other != image and closed <= 0
+                    if other != image and blocking <= 0
                 ),
                 default=0.0,
             )
         return found
 
 
-def _openness(closing: int, capacity: int) -> float:
-    """Returns how near a worker is to being open, under 1.
+def _openness(blocking_cpu: int, capacity: int) -> float:
+    """Returns how nearly a worker is clear of blocking tasks, below 1.
 
-    It is the less the more room what closes it takes, also where all that
-    serves there does: for an image that none bears, workers are emptied.
+    It falls with the processor time of the blocking tasks. This also holds if
+    all serving tasks on the worker block the image, so that workers get emptied
+    for an image that no serving image tolerates.
     """
-    return float(max(1 - closing / capacity, 0.0) ** _OPENNESS_POWER)
+    return float(max(1 - blocking_cpu / capacity, 0.0) ** _OPENNESS_POWER)
--- a/pimentocross/placement/moves.py
+++ b/pimentocross/placement/moves.py
@@ -1,8 +1,8 @@
-"""Which serving tasks to move, so that more of what waits to fill has room.
+"""Chooses serving tasks to move, to make room for waiting best-effort tasks.
 
-Load pattern: as in `layout`. A task is moved to where there is room, or
-exchanged for one on another worker, if the room of both workers together
-becomes worth more by it; the best comes first.
+Load pattern: as in `layout`. A task is moved to a worker with room, or swapped
+with a task on another worker, if this raises the total value of both workers'
+room. The move that gains most is made first.
 """
 
 from collections.abc import Collection, Iterable, Sequence
@@ -11,33 +11,33 @@
 from typing import Final, NamedTuple
 
 from pimentocross.placement.host import (
-    SERVING_LOAD,
+    SERVING_USE_SHARE,
     Host,
-    left_to_fill,
+    best_effort_cpu_limit,
     may_run,
 )
-from pimentocross.placement.layout import Outlook
+from pimentocross.placement.layout import CapacityValue
 from pimentocross.work.spec import Size
 from pimentocross.work.state import Task
 
-# What a move has to gain, as a share of the processor time that it moves. It
-# takes that away from what serves for about a second; what is gained is there
-# for as long as the tasks stay.
-_GAIN_LEAST: Final = 0.1
-# Tasks looked at in one pass: those whose leaving gains most, and workers that
-# each of them may go to. They bound the time of a pass in a large cell.
-_LEAVING_MOST: Final = 8
-_HOSTS_MOST: Final = 48
+# Value that a move has to gain, as a share of the processor time that it moves.
+# The moved tasks are down for about a second, while the gain lasts for as long
+# as the tasks stay.
+_MIN_GAIN_SHARE: Final = 0.1
+# Limits for one pass, which bound its duration in a large cell: tasks that may
+# leave, those whose leaving gains most, and destinations for each of them.
+_MAX_LEAVING: Final = 8
+_MAX_DESTINATIONS: Final = 48
 
 
-class Seat(NamedTuple):
-    """A lasting task that may be moved, and the worker that it is on.
+class MoveCandidate(NamedTuple):
+    """A long-running task that may be moved or stopped, and its worker.
 
     Attributes:
         task: The task.
-        host: The worker.
-        image: What it runs.
-        size: What it reserves.
+        host: The worker that the task runs on.
+        image: Image that the task runs.
+        size: Resources that the task reserves.
     """
 
     task: Task
@@ -46,22 +46,22 @@
     size: Size
 
 
-def seat_of(task: Task, host: Host) -> Seat:
-    """Returns a task's seat on a worker."""
+def move_candidate(task: Task, host: Host) -> MoveCandidate:
+    """Returns the candidate for a task on a worker."""
     spec = task.step.spec
-    return Seat(task, host, spec.image, spec.committed)
+    return MoveCandidate(task, host, spec.image, spec.committed)
 
 
 class Move(NamedTuple):
-    """A task that goes to another worker, and one that comes for it, if any.
+    """A task that moves to another worker, and the task swapped for it, if any.
 
     Attributes:
-        leaves: The task that leaves.
-        to: Number of the worker that it goes to.
-        comes: The task that makes room for it there, or None.
-        source: Number of the worker that it leaves.
-        gain: Room for what fills, weighted by its scarcity, thousandths of a
-            core, less what the move costs.
+        leaves: The task that moves.
+        to: Number of the destination worker.
+        comes: The task that moves from the destination to the source, or None.
+        source: Number of the worker that `leaves` is on.
+        gain: Gained room for best-effort tasks, weighted by its scarcity, less
+            the cost of the move, in thousandths of a core.
     """
 
     leaves: Task
@@ -72,33 +72,33 @@
 
     @property
     def cpu(self) -> int:
-        """Processor time that is moved, thousandths."""
+        """Processor time of the moved tasks, in thousandths of a core."""
         moved = self.leaves.step.spec.size.cpu
         if self.comes is not None:
             moved += self.comes.step.spec.size.cpu
         return moved
 
 
-class _Sketch(NamedTuple):
-    """What counts of a worker.
+class _HostState(NamedTuple):
+    """The figures of a worker from which gains are computed.
 
     Attributes:
         host: The worker.
-        room: Processor time that it leaves to what fills.
-        closing: What closes it to each scarce image.
+        room: Processor time that it leaves to best-effort tasks.
+        blocking_cpu: Processor time of blocking tasks, by scarce image.
         capacity: All of its processor time.
-        worth: What its room is worth now.
+        usable_value: Present value of its room.
     """
 
     host: Host
     room: int
-    closing: tuple[int, ...]
+    blocking_cpu: tuple[int, ...]
     capacity: int
-    worth: float
+    usable_value: float
 
 
 class _Change(NamedTuple):
-    """A worker, and image and size of what leaves it and of what joins it."""
+    """A worker, and image and size of the tasks that leave and join it."""
 
     worker: int
     leaves: tuple[str, int] | None
@@ -106,79 +106,101 @@
 
 
 class Mover:
-    """Finds the move that opens most room."""
-
-    def __init__(self, hosts: Sequence[Host], outlook: Outlook) -> None:
-        """Takes the workers and what their room is worth."""
-        self._outlook = outlook
-        # The roomiest first.
-        self._hosts = sorted(hosts, key=left_to_fill, reverse=True)
-        self._sketches = {h.number: self._sketch(h) for h in hosts}
-        # Many seats on a worker are of one image: what `_gain` returned.
+    """Finds the move that gains most room for best-effort tasks."""
+
+    def __init__(
+        self, hosts: Sequence[Host], capacity_value: CapacityValue
+    ) -> None:
+        """Initializes the mover with workers and the value of their room."""
+        self._capacity_value = capacity_value
+        # The worker with most room first.
+        self._hosts = sorted(hosts, key=best_effort_cpu_limit, reverse=True)
+        self._host_states = {h.number: self._host_state_of(h) for h in hosts}
+        # Cached results of `_gain`: many candidates on a worker share an image.
         self._gains: dict[_Change, float] = {}
 
     def best(
         self,
-        seats: Sequence[Seat],
-        most: int,
+        candidates: Sequence[MoveCandidate],
+        max_cpu: int,
         busy: Collection[int] = frozenset(),
     ) -> Move | None:
-        """Returns the move that gains most, or None if none is worth it.
+        """Returns the move that gains most, or None if none gains enough.
 
         Args:
-            seats: Tasks that may move.
-            most: Processor time that may be moved, thousandths.
-            busy: Numbers of workers that are left as they are, with no seats.
+            candidates: Tasks that may move.
+            max_cpu: Processor time that may be moved, in thousandths of a core.
+            busy: Numbers of workers that must not change; they have no
+                candidates.
         """
-        if self._outlook.is_plain:
+        if self._capacity_value.is_unconstrained:
             return None
-        leaving = heapq.nlargest(_LEAVING_MOST, seats, key=self._freed)
+        leaving = heapq.nlargest(
+            _MAX_LEAVING, candidates, key=self._gain_by_leaving
+        )
         free = (host for host in self._hosts if host.number not in busy)
-        hosts = list(itertools.islice(free, _HOSTS_MOST))
+        hosts = list(itertools.islice(free, _MAX_DESTINATIONS))
         numbers = {host.number for host in hosts}
-        partners = [seat for seat in seats if seat.host.number in numbers]
+        partners = [
+            candidate
+            for candidate in candidates
+            if candidate.host.number in numbers
+        ]
         moves = (
             move
-            for seat in leaving
-            for move in self._moves(seat, hosts, partners)
-            if move.cpu <= most
+            for candidate in leaving
+            for move in self._moves(candidate, hosts, partners)
+            if move.cpu <= max_cpu
         )
         return max(moves, key=lambda move: move.gain, default=None)
 
-    def _sketch(self, host: Host) -> _Sketch:
-        room = left_to_fill(host)
-        closing = tuple(self._outlook.closing(host.serving))
+    def _host_state_of(self, host: Host) -> _HostState:
+        room = best_effort_cpu_limit(host)
+        blocking_cpu = tuple(self._capacity_value.blocking_cpu(host.serving))
         capacity = host.life.capacity.cpu
-        worth = self._outlook.worth(room, closing, capacity)
-        return _Sketch(host, room, closing, capacity, worth)
+        usable_value = self._capacity_value.usable_value(
+            room, blocking_cpu, capacity
+        )
+        return _HostState(host, room, blocking_cpu, capacity, usable_value)
 
-    def _freed(self, seat: Seat) -> float:
-        return self._gain(seat.host, leaves=seat, joins=None)
+    def _gain_by_leaving(self, candidate: MoveCandidate) -> float:
+        return self._gain(candidate.host, leaves=candidate, joins=None)
 
     def _moves(
-        self, seat: Seat, hosts: Sequence[Host], partners: Sequence[Seat]
+        self,
+        candidate: MoveCandidate,
+        hosts: Sequence[Host],
+        partners: Sequence[MoveCandidate],
     ) -> Iterable[Move]:
-        freed = self._freed(seat)
+        gain_by_leaving = self._gain_by_leaving(candidate)
         for host in hosts:
-            if host is not seat.host and _has_room(host, seat, seat.size):
-                gain = freed + self._gain(host, leaves=None, joins=seat)
-                yield from _worthwhile(seat, host, None, gain)
-        shut_out = self._outlook.shut_out_by(seat.image)
+            if host is not candidate.host and _has_room(
+                host, candidate, candidate.size
+            ):
+                gain = gain_by_leaving + self._gain(
+                    host, leaves=None, joins=candidate
+                )
+                yield from _profitable_move(candidate, host, None, gain)
+        excluded = self._capacity_value.excluded_by(candidate.image)
         for other in partners:
             if (
-                other.host is seat.host
-                or self._outlook.shut_out_by(other.image) == shut_out
-                or not _can_swap(seat, other)
+                other.host is candidate.host
+                or self._capacity_value.excluded_by(other.image) == excluded
+                or not _can_swap(candidate, other)
             ):
                 continue
-            gain = self._gain(seat.host, leaves=seat, joins=other)
-            gain += self._gain(other.host, leaves=other, joins=seat)
-            yield from _worthwhile(seat, other.host, other.task, gain)
+            gain = self._gain(candidate.host, leaves=candidate, joins=other)
+            gain += self._gain(other.host, leaves=other, joins=candidate)
+            yield from _profitable_move(candidate, other.host, other.task, gain)
 
     def _gain(
-        self, host: Host, *, leaves: Seat | None, joins: Seat | None
+        self,
+        host: Host,
+        *,
+        leaves: MoveCandidate | None,
+        joins: MoveCandidate | None,
     ) -> float:
-        """Returns what a worker's room gains in worth by a change."""
+        """Returns how much value a worker's room gains by a change."""
         change = _Change(
             host.number,
             leaves and (leaves.image, leaves.size.cpu),
@@ -186,54 +208,64 @@
         )
         found = self._gains.get(change)
         if found is None:
-            found = self._gains[change] = self._work_out(host, leaves, joins)
+            found = self._gains[change] = self._compute_gain(
+                host, leaves, joins
+            )
         return found
 
-    def _work_out(
-        self, host: Host, leaves: Seat | None, joins: Seat | None
+    def _compute_gain(
+        self,
+        host: Host,
+        leaves: MoveCandidate | None,
+        joins: MoveCandidate | None,
     ) -> float:
-        sketch = self._sketches[host.number]
-        closing = list(sketch.closing)
-        room = float(sketch.room)
-        lost = 0
+        host_state = self._host_states[host.number]
+        blocking_cpu = list(host_state.blocking_cpu)
+        room = float(host_state.room)
+        displaced = 0
         if leaves is not None:
-            room += leaves.size.cpu * SERVING_LOAD
-            for index in self._outlook.closes(leaves.image):
-                closing[index] -= leaves.size.cpu
+            room += leaves.size.cpu * SERVING_USE_SHARE
+            for index in self._capacity_value.blocked_indexes(leaves.image):
+                blocking_cpu[index] -= leaves.size.cpu
         if joins is not None:
-            room -= joins.size.cpu * SERVING_LOAD
-            for index in self._outlook.closes(joins.image):
-                closing[index] += joins.size.cpu
-            lost = self._driven_out(joins.image, host)
-        after = self._outlook.worth(room, closing, sketch.capacity)
-        return after - sketch.worth - lost
+            room -= joins.size.cpu * SERVING_USE_SHARE
+            for index in self._capacity_value.blocked_indexes(joins.image):
+                blocking_cpu[index] += joins.size.cpu
+            displaced = self._displaced_cpu(joins.image, host)
+        after = self._capacity_value.usable_value(
+            room, blocking_cpu, host_state.capacity
+        )
+        return after - host_state.usable_value - displaced
 
-    def _driven_out(self, image: str, host: Host) -> int:
-        """Returns what fills now on a host and can't stay beside an image."""
-        shut_out = self._outlook.shut_out_by(image)
-        return sum(cpu for i, cpu in host.filling.items() if i in shut_out)
+    def _displaced_cpu(self, image: str, host: Host) -> int:
+        """Returns the processor time of tasks that a serving image displaces.
+
+        These are the best-effort tasks on the worker that the image excludes.
+        """
+        excluded = self._capacity_value.excluded_by(image)
+        return sum(cpu for i, cpu in host.filling.items() if i in excluded)
 
 
-def _worthwhile(
-    seat: Seat, host: Host, comes: Task | None, gain: float
+def _profitable_move(
+    candidate: MoveCandidate, host: Host, comes: Task | None, gain: float
 ) -> Iterable[Move]:
-    """Yields a move if it gains more than it costs."""
-    move = Move(seat.task, host.number, comes, seat.host.number, gain)
-    net = gain - _GAIN_LEAST * move.cpu
+    """Yields the move if it gains more than it costs."""
+    move = Move(candidate.task, host.number, comes, candidate.host.number, gain)
+    net = gain - _MIN_GAIN_SHARE * move.cpu
     if net > 0:
         yield move._replace(gain=net)
 
 
-def _has_room(host: Host, seat: Seat, more: Size) -> bool:
-    return more.fits_in(host.free) and may_run(host, seat.task.step)
+def _has_room(host: Host, candidate: MoveCandidate, extra: Size) -> bool:
+    return extra.fits_in(host.free) and may_run(host, candidate.task.step)
 
 
-def _can_swap(seat: Seat, other: Seat) -> bool:
-    more = seat.size.cpu - other.size.cpu
-    if more > other.host.free.cpu or -more > seat.host.free.cpu:
+def _can_swap(candidate: MoveCandidate, other: MoveCandidate) -> bool:
+    extra = candidate.size.cpu - other.size.cpu
+    if extra > other.host.free.cpu or -extra > candidate.host.free.cpu:
         return False
-    if other.task.step is seat.task.step:
+    if other.task.step is candidate.task.step:
         return False
     return _has_room(
-        other.host, seat, seat.size.minus(other.size)
-    ) and _has_room(seat.host, other, other.size.minus(seat.size))
+        other.host, candidate, candidate.size.minus(other.size)
+    ) and _has_room(candidate.host, other, other.size.minus(candidate.size))
--- a/pimentocross/placement/projections.py
+++ b/pimentocross/placement/projections.py
@@ -1,7 +1,7 @@
-"""How long tasks of a step will take, as their progress tells on each worker.
+"""Projects durations of a step's tasks from their progress on each worker.
 
-Load pattern: all tasks of a step take several times as long as usual. None has
-ended for seconds, and the workers that run them look slow.
+Load pattern: all tasks of a step take several times as long as usual. For
+seconds none of them has ended, so that their workers would be taken for slow.
 """
 
 import statistics
@@ -9,34 +9,34 @@
 
 from pimentocross.work.state import Step
 
-# Other workers that have to agree: one may itself be slow.
-_WORKERS_LEAST = 2
-# More tell nothing new.
-_WORKERS_MOST = 8
+# Number of other workers needed for a projection: a single one may be slow.
+_MIN_WORKERS = 2
+# Workers remembered per step; more would not improve the median.
+_MAX_WORKERS = 8
 
 
 class Projections:
-    """What progress tells of steps of which no task has ended."""
+    """Projected durations by worker, for steps without an ended task."""
 
     def __init__(self) -> None:
-        """Knows nothing yet."""
+        """Initializes the projections without any step."""
         self._steps: WeakKeyDictionary[Step, dict[int, float]] = (
             WeakKeyDictionary()
         )
 
     def note(self, step: Step, worker: int, seconds: float) -> None:
-        """Notes how long a task will take on a worker in all."""
+        """Records the projected total duration of a task on a worker."""
         known = self._steps.setdefault(step, {})
-        if worker in known or len(known) < _WORKERS_MOST:
+        if worker in known or len(known) < _MAX_WORKERS:
             known[worker] = seconds
 
     def elsewhere(self, step: Step, worker: int) -> float | None:
-        """Returns how long tasks take on other workers, None if unknown."""
+        """Returns the median duration on other workers, or None if unknown."""
         others = [
             seconds
             for number, seconds in self._steps.get(step, {}).items()
             if number != worker
         ]
-        if len(others) < _WORKERS_LEAST:
+        if len(others) < _MIN_WORKERS:
             return None
         return statistics.median(others)
--- a/pimentocross/placement/quarantine.py
+++ b/pimentocross/placement/quarantine.py
@@ -26,9 +26,9 @@
         most: The longest term; each failed try doubles it up to this.
     """
 
-    after: int = const.QUARANTINE_AFTER
-    first: float = const.QUARANTINE_FIRST
-    most: float = const.QUARANTINE_MOST
+    after: int = const.QUARANTINE_AFTER_FAILURES
+    first: float = const.FIRST_QUARANTINE_SECONDS
+    most: float = const.MAX_QUARANTINE_SECONDS
 
 
 DEFAULT_TERMS = QuarantineTerms()
--- a/pimentocross/placement/rebalance.py
+++ b/pimentocross/placement/rebalance.py
@@ -1,30 +1,30 @@
-"""Which replica of a service to move, once its neighbours are known."""
+"""Chooses a service replica to move away from neighbours that slow it."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
 
 from pimentocross.backing.workers import Resources
 from pimentocross.placement import const
-from pimentocross.placement.policy import Candidate, Wanted
+from pimentocross.placement.policy import Candidate, PlacementRequest
 from pimentocross.placement.weighted import WeightedPolicy
 
 
-class Placed(NamedTuple):
-    """A replica and the worker that it is on."""
+class PlacedReplica(NamedTuple):
+    """A replica and the name of the worker that it runs on."""
 
-    wanted: Wanted
+    request: PlacementRequest
     worker: str
 
 
 class Move(NamedTuple):
-    """A replica that would do better elsewhere, and by how much."""
+    """A replica to move, the cost that this saves, and the new worker."""
 
     task: str
     gain: float
     to: str
 
 
-class _Without(NamedTuple):
+class _WorkerWithoutTask(NamedTuple):
     """A worker as it would be without one of its tasks."""
 
     name: str
@@ -34,14 +34,14 @@
 
 
 def choose_move(
-    placed: Sequence[Placed],
+    placed: Sequence[PlacedReplica],
     workers: Sequence[Candidate],
     policy: WeightedPolicy,
 ) -> Move | None:
-    """Returns the move that gains most, if one gains enough.
+    """Returns the move that gains most, or None if none gains enough.
 
-    The threshold is the hysteresis: what is gained has to outweigh a replica
-    that is away for a moment, and the estimates' noise.
+    The threshold adds hysteresis: the gain has to outweigh the noise of the
+    estimates and the short time in which the moved replica is down.
     """
     best: Move | None = None
     by_name = {worker.name: worker for worker in workers}
@@ -56,29 +56,31 @@
 
 
 def _best_move(
-    replica: Placed,
+    replica: PlacedReplica,
     home: Candidate,
     workers: Sequence[Candidate],
     policy: WeightedPolicy,
 ) -> Move | None:
-    wanted = replica.wanted
-    stays = policy.cost(wanted, _without(home, wanted))
+    request = replica.request
+    cost_of_staying = policy.cost(request, _without_task(home, request))
     fitting = [
         w
         for w in workers
-        if w.name != home.name and wanted.size.fits_in(w.free)
+        if w.name != home.name and request.size.fits_in(w.free)
     ]
     if not fitting:
         return None
-    cost, name = min((policy.cost(wanted, w), w.name) for w in fitting)
-    gain = stays - cost
-    if gain < const.MOVE_GAIN_LEAST:
+    cost, name = min((policy.cost(request, w), w.name) for w in fitting)
+    gain = cost_of_staying - cost
+    if gain < const.MIN_MOVE_GAIN:
         return None
-    return Move(wanted.task, gain, name)
+    return Move(request.task, gain, name)
 
 
-def _without(worker: Candidate, wanted: Wanted) -> _Without:
+def _without_task(
+    worker: Candidate, request: PlacementRequest
+) -> _WorkerWithoutTask:
     classes = dict(worker.classes)
-    classes[wanted.class_name] = classes.get(wanted.class_name, 0) - 1
-    free = worker.free.plus(wanted.size)
-    return _Without(worker.name, free, worker.capacity, classes)
+    classes[request.class_name] = classes.get(request.class_name, 0) - 1
+    free = worker.free.plus(request.size)
+    return _WorkerWithoutTask(worker.name, free, worker.capacity, classes)
--- a/pimentocross/placement/reclaim.py
+++ b/pimentocross/placement/reclaim.py
@@ -1,13 +1,13 @@
-"""Which lasting tasks give way to short ones.
+"""Chooses long-running tasks to evict for short ones.
 
-Load pattern: tasks that last hold nearly all room, and what is free lies in
-pieces too small for short urgent tasks. A lasting task that is away for three
-seconds loses these three seconds; a short job that waits as long has missed its
-objective.
+Load pattern: long-running tasks (`lasting`) hold nearly all room, and the free
+rest is split into pieces too small for short urgent tasks. A long-running task
+that is stopped for three seconds loses only these three seconds, while a short
+job that waits as long has missed its objective.
 
-No step gives more than one task at a moment, so that each of them keeps nearly
-all of its worth however much short work comes. In a large cell many steps give
-one each.
+At most one task of a step is evicted at a time, so that each step keeps nearly
+all of its output however many short tasks arrive. In a large cell one task of
+each of many steps is evicted.
 """
 
 from collections.abc import Iterator, Sequence
@@ -15,37 +15,39 @@
 from typing import Final
 
 from pimentocross.placement.host import may_run
-from pimentocross.placement.moves import Seat
+from pimentocross.placement.moves import MoveCandidate
 from pimentocross.work.spec import Size
 from pimentocross.work.state import Step, Task
 
-# Short tasks for which room is made at once in a small cell; the others follow.
-TASKS_MOST: Final = 12
-# ... and in a large one, for each worker: as many as are in its small cells.
+# Short tasks for which room is made at once in a small cell; the remaining ones
+# wait for later passes.
+SMALL_CELL_TASK_LIMIT: Final = 12
+# The same limit per worker in a large cell, the ratio of a small cell.
 _TASKS_PER_WORKER: Final = 0.5
 
 
-def tasks_most(workers: int) -> int:
-    """Returns for how many short tasks room is made at once.
+def task_limit(workers: int) -> int:
+    """Returns the number of short tasks for which room is made at once.
 
     Args:
-        workers: How many are in use.
+        workers: Number of workers in use.
     """
-    return max(TASKS_MOST, int(workers * _TASKS_PER_WORKER))
+    return max(SMALL_CELL_TASK_LIMIT, int(workers * _TASKS_PER_WORKER))
 
 
 def choose_evictions(
-    waiting: Sequence[Task], seats: Sequence[Seat], most: float
-) -> list[Seat]:
-    """Returns the lasting tasks to be stopped, one of a step at the most.
+    waiting: Sequence[Task], candidates: Sequence[MoveCandidate], max_cpu: float
+) -> list[MoveCandidate]:
+    """Returns the long-running tasks to stop, at most one of each step.
 
     Args:
-        waiting: Short tasks that have room nowhere, those of a step together,
-            the most urgent first.
-        seats: Lasting tasks that may be stopped.
-        most: Processor time that may be taken, thousandths.
+        waiting: Short tasks without room on any worker, grouped by step, the
+            most urgent first.
+        candidates: Long-running tasks that may be stopped.
+        max_cpu: Processor time of the tasks that may be stopped, in thousandths
+            of a core.
     """
-    evictions = _Evictions(seats, most)
+    evictions = _EvictionPlan(candidates, max_cpu)
     for step, tasks in itertools.groupby(waiting, key=_step_of):
         evictions.make_room(step, sum(1 for _ in tasks))
     return evictions.chosen
@@ -55,58 +57,66 @@
     return task.step
 
 
-class _Evictions:
-    """Seats that were chosen, and the room that they leave.
+class _EvictionPlan:
+    """The tasks chosen for eviction and the room that they leave.
 
     Attributes:
-        chosen: Lasting tasks to be stopped.
+        chosen: Long-running tasks to stop.
     """
 
-    def __init__(self, seats: Sequence[Seat], most: float) -> None:
-        """Takes the seats, and the processor time that may be taken."""
-        self.chosen: list[Seat] = []
-        self._most = most
-        # The smallest first: as little as possible is stopped.
-        self._seats = sorted(seats, key=lambda seat: seat.size.cpu)
+    def __init__(
+        self, candidates: Sequence[MoveCandidate], max_cpu: float
+    ) -> None:
+        """Initializes the plan with candidates and the CPU limit."""
+        self.chosen: list[MoveCandidate] = []
+        self._evictable_cpu = max_cpu
+        # The smallest first, so that as little as possible is stopped.
+        self._candidates = sorted(
+            candidates, key=lambda candidate: candidate.size.cpu
+        )
         self._free: dict[int, Size] = {}
-        self._gave: set[Step] = set()
+        self._evicted_steps: set[Step] = set()
 
     def make_room(self, step: Step, count: int) -> None:
-        """Chooses what gives way to some tasks of a short step."""
+        """Chooses evictions for a number of tasks of a short step."""
         size = step.spec.committed
         fitting = self._fitting(step)
         for _ in range(count):
-            if self._fits_in_freed(step):
+            if self._take_freed(step):
                 continue
-            seat = next(fitting, None)
-            if seat is None or seat.size.cpu > self._most:
+            candidate = next(fitting, None)
+            if candidate is None or candidate.size.cpu > self._evictable_cpu:
                 return
-            self._most -= seat.size.cpu
-            self._gave.add(seat.task.step)
-            self.chosen.append(seat)
-            self._free[seat.host.number] = self._room(seat).minus(size)
-
-    def _fits_in_freed(self, step: Step) -> bool:
-        """Takes room that another eviction leaves, if there is enough."""
+            self._evictable_cpu -= candidate.size.cpu
+            self._evicted_steps.add(candidate.task.step)
+            self.chosen.append(candidate)
+            self._free[candidate.host.number] = self._free_after_eviction(
+                candidate
+            ).minus(size)
+
+    def _take_freed(self, step: Step) -> bool:
+        """Reserves room of a chosen eviction; True if there is enough."""
         size = step.spec.committed
-        for seat in self.chosen:
-            left = self._free[seat.host.number]
-            if size.fits_in(left) and may_run(seat.host, step):
-                self._free[seat.host.number] = left.minus(size)
+        for candidate in self.chosen:
+            left = self._free[candidate.host.number]
+            if size.fits_in(left) and may_run(candidate.host, step):
+                self._free[candidate.host.number] = left.minus(size)
                 return True
         return False
 
-    def _fitting(self, step: Step) -> Iterator[Seat]:
-        """Yields seats whose place is large enough, as things are by then."""
+    def _fitting(self, step: Step) -> Iterator[MoveCandidate]:
+        """Yields candidates that leave enough room when they are reached."""
         size = step.spec.committed
-        for seat in self._seats:
-            if seat.host.free.cpu + seat.size.cpu < size.cpu:
+        for candidate in self._candidates:
+            if candidate.host.free.cpu + candidate.size.cpu < size.cpu:
                 continue
-            if seat.task.step in self._gave or not may_run(seat.host, step):
+            if candidate.task.step in self._evicted_steps or not may_run(
+                candidate.host, step
+            ):
                 continue
-            if size.fits_in(self._room(seat)):
-                yield seat
+            if size.fits_in(self._free_after_eviction(candidate)):
+                yield candidate
 
-    def _room(self, seat: Seat) -> Size:
-        host = seat.host
-        return self._free.get(host.number, host.free).plus(seat.size)
+    def _free_after_eviction(self, candidate: MoveCandidate) -> Size:
+        host = candidate.host
+        return self._free.get(host.number, host.free).plus(candidate.size)
--- a/pimentocross/placement/sizes.py
+++ b/pimentocross/placement/sizes.py
@@ -1,42 +1,46 @@
-"""What tasks of a class really use, against what was declared."""
+"""Corrects the declared size of tasks by the measured use of their class."""
 
 from pimentocross.backing.workers import Resources
 
-# Share of a new measurement; peaks count at once, quiet fades slowly.
-_FADE = 0.02
+# Weight of a measurement below the recorded peak. Higher ones replace the peak
+# at once, so that it rises at once and decays slowly.
+_DECAY_RATE = 0.02
 
 
 class ObservedSizes:
-    """Processors and memory that a class was seen to need."""
+    """Measured processors and memory by class."""
 
     def __init__(self) -> None:
-        """Starts without measurements."""
-        self._seen: dict[str, tuple[float, float]] = {}
+        """Initializes the sizes without measurements."""
+        self._measured: dict[str, tuple[float, float]] = {}
 
     def note(self, class_name: str, processors: float, memory: int) -> None:
-        """Takes one measurement of a task."""
-        before = self._seen.get(class_name, (0.0, 0.0))
-        self._seen[class_name] = (
-            _follow(before[0], processors),
-            _follow(before[1], float(memory)),
+        """Records one measurement of a task."""
+        before = self._measured.get(class_name, (0.0, 0.0))
+        self._measured[class_name] = (
+            _decaying_peak(before[0], processors),
+            _decaying_peak(before[1], float(memory)),
         )
 
     def correct(
         self, class_name: str, declared: Resources, capacity: Resources
     ) -> Resources:
-        """Returns what to commit for a task: what it needs, if that is more.
+        """Returns the resources to commit for a task.
 
-        Never more than a VM's capacity, so that the task can still be placed.
+        These are the declared ones or the measured ones if higher, but at most
+        a VM's capacity, so that the task can still be placed.
         """
-        seen = self._seen.get(class_name)
-        if seen is None:
+        measured = self._measured.get(class_name)
+        if measured is None:
             return declared
-        processors = min(max(declared.processors, seen[0]), capacity.processors)
-        memory = min(max(declared.memory, int(seen[1])), capacity.memory)
+        processors = min(
+            max(declared.processors, measured[0]), capacity.processors
+        )
+        memory = min(max(declared.memory, int(measured[1])), capacity.memory)
         return declared._replace(processors=processors, memory=memory)
 
 
-def _follow(before: float, seen: float) -> float:
-    if seen >= before:
-        return seen
-    return before + _FADE * (seen - before)
+def _decaying_peak(before: float, measured: float) -> float:
+    if measured >= before:
+        return measured
+    return before + _DECAY_RATE * (measured - before)
--- a/pimentocross/placement/weighted.py
+++ b/pimentocross/placement/weighted.py
@@ -1,4 +1,4 @@
-"""Places tasks by what they cost under the deployment's objective."""
+"""Places tasks by their expected cost under the deployment's objective."""
 
 from collections.abc import Mapping, Sequence
 import math
@@ -9,25 +9,26 @@
 from pimentocross.placement.policy import (
     Candidate,
     Choice,
-    Wanted,
+    PlacementRequest,
     explain_no_fit,
     fullness_with,
 )
 
-# Breaks ties towards emptier workers; far below any slowdown that counts.
+# Breaks ties in favour of emptier workers; far below any relevant slowdown.
 _FULLNESS_WEIGHT = 0.02
-# Replicas of a service on one VM: together they meet fewer batch tasks, yet
-# too many fall with it.
-_TOGETHER_GAIN = 0.05
-_TOGETHER_SHARE = 0.34
-_CROWD_PENALTY = 10.0
+# Replicas of a service on one VM have fewer batch tasks as neighbours, which is
+# a gain for each of them. Above this share of all replicas a penalty applies,
+# as the VM's failure would take too many of them down.
+_COLOCATION_GAIN = 0.05
+_MAX_COLOCATED_SHARE = 0.34
+_COLOCATION_PENALTY = 10.0
 
 
 class WeightedPolicy:
-    """Takes the worker where a task does the least harm and suffers least.
+    """Chooses the worker with the least slowdown of a task and its neighbours.
 
-    Harm to services weighs as the objective weighs tail latency; harm to and
-    of batch tasks as it weighs batch throughput.
+    Slowdown of services is weighted by the objective's weight of tail latency,
+    slowdown of batch tasks by its weight of batch throughput.
     """
 
     def __init__(
@@ -36,47 +37,57 @@
         objective: ObjectiveConfig,
         replicas: Mapping[str, int],
     ) -> None:
-        """Takes the estimates, the weights, and the services' replicas."""
+        """Initializes the policy.
+
+        Args:
+            interference: Estimated slowdowns by pair of classes.
+            objective: Weights of the deployment's objective.
+            replicas: Number of replicas by service.
+        """
         self._interference = interference
         self._objective = objective
         self._replicas = replicas
 
-    def choose(self, wanted: Wanted, workers: Sequence[Candidate]) -> Choice:
-        """Returns the worker; see `PlacementPolicy`."""
-        fitting = [w for w in workers if wanted.size.fits_in(w.free)]
+    def choose(
+        self, request: PlacementRequest, workers: Sequence[Candidate]
+    ) -> Choice:
+        """Returns the chosen worker; see `PlacementPolicy`."""
+        fitting = [w for w in workers if request.size.fits_in(w.free)]
         if not fitting:
-            return Choice("", explain_no_fit(wanted, workers))
-        cost, name = min((self.cost(wanted, w), w.name) for w in fitting)
+            return Choice("", explain_no_fit(request, workers))
+        cost, name = min((self.cost(request, w), w.name) for w in fitting)
         reason = f"cost {cost:.3f}, least of {len(fitting)} workers"
         return Choice(name, reason)
 
-    def cost(self, wanted: Wanted, worker: Candidate) -> float:
-        """Returns what placing a task on a worker is expected to cost."""
+    def cost(self, request: PlacementRequest, worker: Candidate) -> float:
+        """Returns the expected cost of placing a task on a worker."""
         used = worker.capacity.processors - worker.free.processors
-        after = used + wanted.size.processors
+        after = used + request.size.processors
         band = load_band(after, worker.capacity.processors)
-        cost = _FULLNESS_WEIGHT * fullness_with(wanted.size, worker)
+        cost = _FULLNESS_WEIGHT * fullness_with(request.size, worker)
         for name, count in worker.classes.items():
             if count <= 0:
                 continue
-            harm = self._interference.added(name, wanted.class_name, band)
+            harm = self._interference.added(name, request.class_name, band)
             cost += self._weight(name) * count * harm
-            suffered = self._interference.added(wanted.class_name, name, band)
-            cost += self._weight(wanted.class_name) * count * suffered
-        if wanted.kind is TaskKind.SERVICE:
-            cost += self._crowding(wanted.class_name, worker)
+            suffered = self._interference.added(request.class_name, name, band)
+            cost += self._weight(request.class_name) * count * suffered
+        if request.kind is TaskKind.SERVICE:
+            cost += self._colocation_cost(request.class_name, worker)
         return cost
 
     def is_service(self, class_name: str) -> bool:
         """True if a class is a service."""
         return class_name in self._replicas
 
-    def _crowding(self, service: str, worker: Candidate) -> float:
-        same = worker.classes.get(service, 0)
-        most = max(math.floor(self._replicas[service] * _TOGETHER_SHARE), 1)
-        if same >= most:
-            return _CROWD_PENALTY * same
-        return -_TOGETHER_GAIN * same
+    def _colocation_cost(self, service: str, worker: Candidate) -> float:
+        colocated = worker.classes.get(service, 0)
+        max_colocated = max(
+            math.floor(self._replicas[service] * _MAX_COLOCATED_SHARE), 1
+        )
+        if colocated >= max_colocated:
+            return _COLOCATION_PENALTY * colocated
+        return -_COLOCATION_GAIN * colocated
 
     def _weight(self, class_name: str) -> float:
         if class_name in self._replicas:
@@ -87,6 +98,6 @@
 def make_weighted_policy(
     interference: Interference, config: Configuration
 ) -> WeightedPolicy:
-    """Returns the policy that a configuration asks for."""
+    """Returns the policy for a configuration."""
     replicas = {n: s.replicas for n, s in config.services.items()}
     return WeightedPolicy(interference, config.objective, replicas)
--- a/pimentocross/zones/placer.py
+++ b/pimentocross/zones/placer.py
@@ -17,10 +17,10 @@
     Choice,
     LeastLoaded,
     PlacementPolicy,
-    Wanted,
+    PlacementRequest,
 )
 from pimentocross.placement.quarantine import Quarantine
-from pimentocross.placement.rebalance import Move, Placed, choose_move
+from pimentocross.placement.rebalance import Move, PlacedReplica, choose_move
 from pimentocross.placement.sizes import ObservedSizes
 from pimentocross.placement.weighted import (
     WeightedPolicy,
@@ -83,7 +83,7 @@
         if not isinstance(policy, WeightedPolicy):
             return None
         placed = [
-            Placed(_wanted(task), task.worker)
+            PlacedReplica(_wanted(task), task.worker)
             for task in tasks
             if task.kind is TaskKind.SERVICE
         ]
@@ -174,5 +174,5 @@
     return [w for w in workers if w.met and not w.leaving]
 
 
-def _wanted(task: WantedTask) -> Wanted:
-    return Wanted(task.task, task.kind, task.class_name, task.size)
+def _wanted(task: WantedTask) -> PlacementRequest:
+    return PlacementRequest(task.task, task.kind, task.class_name, task.size)
--- a/pimentocross/zones/rebalancing.py
+++ b/pimentocross/zones/rebalancing.py
@@ -6,7 +6,7 @@
 
 from pimentocross.backing.workers import TaskKind
 from pimentocross.config.schema import Configuration
-from pimentocross.placement.const import MOVE_INTERVAL
+from pimentocross.placement.const import MOVE_INTERVAL_SECONDS
 from pimentocross.vms.worker import Worker
 from pimentocross.zones.placer import Placer
 from pimentocross.zones.tasks import TaskPhase, WantedTask
@@ -21,7 +21,7 @@
 ) -> None:
     """Moves a replica now and then, while none is on its way, for ever."""
     while True:
-        await trio.sleep(MOVE_INTERVAL)
+        await trio.sleep(MOVE_INTERVAL_SECONDS)
         settled = all(
             task.phase is TaskPhase.RUNNING
             for task in tasks.values()
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -1,4 +1,4 @@
-"""Copies of runs that hold their step up.
+"""Copies of runs that delay their step.
 
 Load pattern: a step of ten tasks of 0.7 s, one of which takes seven times as
 long, in jobs that allow copies.
@@ -23,8 +23,8 @@
 from pimentocross.owner.owner import Owner
 from pimentocross.owner.room import RoomKeeper
 from pimentocross.placement.copies import (
+    CopyBudget,
     CopyHistory,
-    CopyRoom,
     Straggler,
     is_worth_copy,
 )
@@ -64,7 +64,7 @@
 
 
 def test_copies_leave_room_for_what_waits() -> None:
-    room = CopyRoom(100_000, 50_000, 0)
+    room = CopyBudget(100_000, 50_000, 0)
     assert room.admits(4000)
     assert room.after(1000).admits(1000)
     assert not room.after(1000).admits(1500)
@@ -77,18 +77,18 @@
     assert not history.admits("q", 4, 0.0)
     for _ in range(4):
         history.note_started("q", 1.0)
-        history.note_verdict("q", won=False)
+        history.note_outcome("q", won=False)
     assert not history.admits("q", 0, 2.0)
     assert history.admits("other", 0, 2.0)
     assert history.admits("q", 0, 60.0)
     assert not history.admits("q", 1, 60.0)
     for _ in range(6):
-        history.note_verdict("q", won=True)
+        history.note_outcome("q", won=True)
     assert history.admits("q", 9, 61.0)
 
 
-class _Scene:
-    """A step of which nine tasks are done, and a copier that looks at it."""
+class _CopyScenario:
+    """A step of which nine of ten tasks are done, and a copier."""
 
     def __init__(self) -> None:
         store = StoreStandin().client("a")
@@ -104,7 +104,7 @@
         )
 
     def begin(self, job_id: str, step: StepSpec) -> None:
-        """Has the tasks of a job run, and all but one end."""
+        """Starts the tasks of a job and ends all but one of them."""
         self.book.accept(job_id, QUEUE, spec(step))
         job = self.book.find(job_id)
         assert job is not None
@@ -120,8 +120,8 @@
         for task in self.step.tasks[1:]:
             self.end(task, 1, EndKind.DONE)
 
-    async def look(self) -> list[Placement]:
-        """Returns the copies decided on after 1 s, at a fifth of the work."""
+    async def decide_copies(self) -> list[Placement]:
+        """Returns the copies decided on after 1 s, at 20 percent progress."""
         await trio.sleep(1.0)
         run = self.long.runs[1]
         run.percent, run.percent_at = 20, trio.current_time()
@@ -130,77 +130,79 @@
         )
 
     def end(self, task: Task, number: int, how: EndKind) -> None:
-        """Has a run end."""
+        """Ends a run."""
         worker = self.workers[task.runs[number].worker]
         ending = Ending(1, task.name, number, how, "")
         self.copier.note_ended(task, apply_ending(task, ending, worker), ending)
 
 
 @asynccontextmanager
-async def _scene(step: StepSpec = _STEP) -> AsyncIterator[_Scene]:
+async def _copy_scenario(
+    step: StepSpec = _STEP,
+) -> AsyncIterator[_CopyScenario]:
     with mock.patch.object(wall, "now", trio.current_time):
-        # At 0 runs count as a former owner's.
+        # Runs that started at time 0 count as a former owner's.
         await trio.sleep(1.0)
-        scene = _Scene()
-        scene.begin("j", step)
-        yield scene
+        scenario = _CopyScenario()
+        scenario.begin("j", step)
+        yield scenario
 
 
 async def test_a_copy_goes_to_another_worker_with_room() -> None:
-    async with _scene() as scene:
-        [placement] = await scene.look()
-        assert placement.task is scene.long
+    async with _copy_scenario() as scenario:
+        [placement] = await scenario.decide_copies()
+        assert placement.task is scenario.long
         assert placement.run.number == 2
         assert placement.worker.number != 0
         await trio.sleep(1.0)
-        assert not await scene.look(), "one copy at most"
+        assert not await scenario.decide_copies(), "one copy at most"
 
 
 async def test_no_copy_without_room_or_leave() -> None:
-    async with _scene() as scene:
-        for worker in scene.workers:
+    async with _copy_scenario() as scenario:
+        for worker in scenario.workers:
             worker.committed = worker.life.capacity
-        assert not await scene.look()
-    async with _scene(_STEP._replace(copies=False)) as scene:
-        assert not await scene.look()
-    async with _scene() as scene:
-        scene.long.failed_on = {1, 2, 3}
-        assert not await scene.look()
-    async with _scene() as scene:
-        # Either run may fail, which would be all attempts.
-        scene.long.failures = QUEUE.attempts - 1
-        assert not await scene.look()
-    async with _scene() as scene:
-        scene.learned.durations = Durations()
-        assert not await scene.look(), "no stragglers were seen"
+        assert not await scenario.decide_copies()
+    async with _copy_scenario(_STEP._replace(copies=False)) as scenario:
+        assert not await scenario.decide_copies()
+    async with _copy_scenario() as scenario:
+        scenario.long.failed_on = {1, 2, 3}
+        assert not await scenario.decide_copies()
+    async with _copy_scenario() as scenario:
+        # Both runs may fail, which would use up all attempts.
+        scenario.long.failures = QUEUE.attempts - 1
+        assert not await scenario.decide_copies()
+    async with _copy_scenario() as scenario:
+        scenario.learned.durations = Durations()
+        assert not await scenario.decide_copies(), "no stragglers were seen"
 
 
 async def test_no_copy_where_all_of_a_step_takes_long() -> None:
-    async with _scene() as scene:
+    async with _copy_scenario() as scenario:
         for _ in range(3):
-            scene.learned.durations.note_task(scene.step, _LONG, _LONG)
-        assert not await scene.look()
+            scenario.learned.durations.note_task(scenario.step, _LONG, _LONG)
+        assert not await scenario.decide_copies()
 
 
 async def test_both_runs_count_for_the_most_on_one_worker() -> None:
-    async with _scene(_STEP._replace(per_worker=1)) as scene:
-        for worker in scene.workers[1:3]:
-            worker.add(scene.step.tasks[1], Run(5, worker.number))
-        [placement] = await scene.look()
+    async with _copy_scenario(_STEP._replace(per_worker=1)) as scenario:
+        for worker in scenario.workers[1:3]:
+            worker.add(scenario.step.tasks[1], Run(5, worker.number))
+        [placement] = await scenario.decide_copies()
         assert placement.worker.number == 3
 
 
 async def test_copies_that_never_win_are_given_up() -> None:
     copied = 0
-    async with _scene() as scene:
+    async with _copy_scenario() as scenario:
         for number in range(8):
-            scene.begin(f"j{number + 1}", _STEP)
-            for _, run, _, _ in await scene.look():
+            scenario.begin(f"j{number + 1}", _STEP)
+            for _, run, _, _ in await scenario.decide_copies():
                 copied += 1
                 run.enter(RunState.RUNNING, trio.current_time())
-            scene.end(scene.long, 1, EndKind.DONE)
-            for run in list(scene.long.runs.values()):
-                scene.end(scene.long, run.number, EndKind.STOPPED)
+            scenario.end(scenario.long, 1, EndKind.DONE)
+            for run in list(scenario.long.runs.values()):
+                scenario.end(scenario.long, run.number, EndKind.STOPPED)
     assert copied == 4, copied
 
 
@@ -228,7 +230,7 @@
 async def _cell(
     plans: _Plans, store: StoreStandin | None = None
 ) -> AsyncIterator[tuple[WorkerHall, Owner]]:
-    """Runs an owner that has a job whose first task is copied."""
+    """Runs an owner with a job whose first task is slow enough for a copy."""
     hall = make_hall(4, plans)
     seen = mock.patch.object(Durations, "has_stragglers", lambda *_: True)
     with mock.patch.object(wall, "now", trio.current_time), seen:
@@ -241,7 +243,7 @@
 
 
 def _events(hall: WorkerHall, run: int, *whats: str) -> list[RunEvent]:
-    """Returns what happened to a run of the long task."""
+    """Returns the events of some kinds of a run of the long task."""
     return [
         event
         for event in hall.journal
@@ -255,12 +257,12 @@
     return lambda: owner.desk.state("j").state is JobState.COMPLETED
 
 
-async def _copied(hall: WorkerHall) -> None:
+async def _wait_for_copy(hall: WorkerHall) -> None:
     await wait_until(lambda: bool(_events(hall, 2, "start")))
 
 
 def _check_settled(hall: WorkerHall) -> None:
-    """Checks that nothing runs on, or began after a task had ended."""
+    """Checks that no run is left or began after its task had ended."""
     for worker in hall.workers.values():
         assert worker.committed == Size(0, 0, 0)
     assert not find_again(hall.journal)
@@ -298,7 +300,7 @@
 async def test_a_copy_whose_worker_crashes_takes_no_run_along() -> None:
     crashes = TaskPlan(_USUAL, SMALL, crashes_after=0.2)
     async with _cell(_Plans(crashes)) as (hall, owner):
-        await _copied(hall)
+        await _wait_for_copy(hall)
         await wait_until(_ended(owner))
         assert _events(hall, 2, "crashed")
         assert len(_events(hall, 1, "start")) == 1
@@ -306,7 +308,7 @@
 
 async def test_a_cancel_stops_both_runs() -> None:
     async with _cell(_Plans(TaskPlan(9.0, SMALL))) as (hall, owner):
-        await _copied(hall)
+        await _wait_for_copy(hall)
         await owner.desk.cancel("j")
         await trio.sleep(1.0)
         assert _events(hall, 1, "stopped")
@@ -319,7 +321,7 @@
 ):
     store = StoreStandin()
     async with _cell(_Plans(TaskPlan(1.5, SMALL)), store) as (hall, _):
-        await _copied(hall)
+        await _wait_for_copy(hall)
     with mock.patch.object(wall, "now", trio.current_time):
         async with running(make_owner(store, hall, 2, vm="b")) as owner:
             await wait_until(_ended(owner))
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions against naive versions, and what they are for."""
+"""Placement decisions, checked against naive implementations and by effect."""
 
 from collections import Counter
 
@@ -13,7 +13,7 @@
     NeighbourHistory,
     others,
 )
-from pimentocross.placement.policy import LeastLoaded, Wanted
+from pimentocross.placement.policy import LeastLoaded, PlacementRequest
 from pimentocross.placement.quarantine import Quarantine
 from pimentocross.placement.weighted import WeightedPolicy
 from pimentocross.vms.commitments import Commitments, OverCommitError
@@ -29,7 +29,7 @@
     return View(name, free, _CAPACITY, classes)
 
 
-def _taught(pairs: dict[tuple[str, str], float]) -> Interference:
+def _trained_interference(pairs: dict[tuple[str, str], float]) -> Interference:
     interference = Interference()
     for now in range(200):
         for (victim, neighbour), added in pairs.items():
@@ -84,7 +84,7 @@
 def test_least_loaded_matches_a_full_scan(used: list[int], wanted: int) -> None:
     views = [_view(f"w{n:02}", {}, float(u)) for n, u in enumerate(used)]
     size = Resources(float(wanted), 1, 0, 1)
-    task = Wanted("t", TaskKind.BATCH, "plan", size)
+    task = PlacementRequest("t", TaskKind.BATCH, "plan", size)
     choice = LeastLoaded().choose(task, views)
     fitting = [(u, n) for n, u in enumerate(used) if u + wanted <= 16]
     expected = f"w{min(fitting)[1]:02}" if fitting else ""
@@ -99,7 +99,7 @@
         interference.learn("stock", beside, 1, slowdown, float(now))
     assert abs(interference.estimate("stock", "noisy", 1).mean - 0.6) < 0.05
     assert interference.estimate("stock", "mild", 1).mean < 0.1
-    # What was never seen is still the guess it was.
+    # A pair without measurements in this band keeps the prior estimate.
     assert interference.estimate("stock", "noisy", 2).mean == 0.05
 
 
@@ -117,7 +117,9 @@
 
 
 def test_wave_of_noisy_tasks_is_kept_from_the_service() -> None:
-    interference = _taught({("stock", "noisy"): 0.8, ("noisy", "noisy"): 0.1})
+    interference = _trained_interference(
+        {("stock", "noisy"): 0.8, ("noisy", "noisy"): 0.1}
+    )
     policy = WeightedPolicy(interference, _QUETZAL, {"stock": 2})
     classes = [Counter({"stock": 1}), Counter({"stock": 1}), Counter()]
     classes += [Counter(), Counter()]
@@ -127,7 +129,7 @@
             _view(f"w{n}", dict(c), 2.0 * c.total())
             for n, c in enumerate(classes)
         ]
-        task = Wanted(f"t{number}", TaskKind.BATCH, "noisy", size)
+        task = PlacementRequest(f"t{number}", TaskKind.BATCH, "noisy", size)
         chosen = policy.choose(task, views).worker
         classes[int(chosen[1:])]["noisy"] += 1
     assert classes[0]["noisy"] == classes[1]["noisy"] == 0
@@ -140,11 +142,13 @@
         ("report", "plan"): 0.4,
     }
     views = [_view("quiet", {"stock": 1}), _view("busy", {"report": 1})]
-    task = Wanted("t", TaskKind.BATCH, "plan", Resources(2.0, 1, 0, 1))
+    task = PlacementRequest(
+        "t", TaskKind.BATCH, "plan", Resources(2.0, 1, 0, 1)
+    )
     chosen = [
-        WeightedPolicy(_taught(pairs), objective, {"stock": 1}).choose(
-            task, views
-        )
+        WeightedPolicy(
+            _trained_interference(pairs), objective, {"stock": 1}
+        ).choose(task, views)
         for objective in (_QUETZAL, _OSTEND)
     ]
     assert [choice.worker for choice in chosen] == ["busy", "quiet"]
@@ -160,7 +164,7 @@
             quarantine.note_failed("w", f"job{second}", float(second))
     assert tries <= 10
     assert not quarantine.admits("w", 3600.0)
-    assert quarantine.admits("w", 3600.0 + const.QUARANTINE_MOST)
+    assert quarantine.admits("w", 3600.0 + const.MAX_QUARANTINE_SECONDS)
     quarantine.note_finished("w")
     assert quarantine.admits("w", 3600.0)
 
--- a/tests/test_field.py
+++ b/tests/test_field.py
@@ -1,10 +1,10 @@
-"""Workers are chosen from lists as they are by a look at all of them.
+"""The host index chooses the same workers as a full scan.
 
-A pass that looked at all workers for each task took up to 0.7 s of a core in a
-cell of 246. Lists by kind of task cost less, and would do harm that no other
-test sees if they went by what was so before the last placement. Here random
-days are lived through, and for every task a plain scan has to find the same
-worker, or one that costs the same.
+A pass that evaluated all workers for each task took up to 0.7 s of a core in a
+cell of 246 workers. Shortlists by task class cost less, but choose wrong
+workers if they miss the last placement, which no other test would notice. These
+tests run random loads and compare each choice with a full scan, which has to
+find the same worker or one of the same cost.
 """
 
 from collections.abc import Iterable
@@ -20,9 +20,9 @@
 from pimentocross.owner.worker import Worker
 from pimentocross.placement import hosts
 from pimentocross.placement.disturbance import Disturbance, Pair
-from pimentocross.placement.field import Field
-from pimentocross.placement.hosts import View
-from pimentocross.placement.layout import Compatibility, Outlook
+from pimentocross.placement.field import HostIndex
+from pimentocross.placement.hosts import PlacementContext
+from pimentocross.placement.layout import CapacityValue, Compatibility
 from pimentocross.placement.probes import Probes
 from pimentocross.work.queue import Queue
 from pimentocross.work.spec import JobSpec, Size, StepSpec
@@ -37,23 +37,27 @@
 _LATER = QUEUE._replace(name="later", priority=1)
 
 
-class _CheckedField(Field[Worker]):
-    """Chooses from its lists, and by a look at all workers beside that."""
+class _CheckedField(HostIndex[Worker]):
+    """Chooses from the shortlists and checks each choice by a full scan."""
 
     chosen = 0
 
-    def __init__(self, among: Iterable[Worker], view: View) -> None:
-        self._plain = list(among)
-        self._whole = list(self._plain)
-        self._plain_view = view
-        super().__init__(self._plain, view)
+    def __init__(
+        self, among: Iterable[Worker], context: PlacementContext
+    ) -> None:
+        self._scanned_hosts = list(among)
+        self._all_hosts = list(self._scanned_hosts)
+        self._scan_context = context
+        super().__init__(self._scanned_hosts, context)
 
     def choose(self, task: Task, rack: str = "") -> Worker | None:
         """Returns the best worker."""
-        scanned = hosts.choose(task, self._plain, self._plain_view, rack)
+        scanned = hosts.choose(
+            task, self._scanned_hosts, self._scan_context, rack
+        )
         found = super().choose(task, rack)
         if found is not scanned:
-            # Of two that cost the same either may be taken.
+            # Either of two workers of the same cost may be chosen.
             costs = [self._cost(task, h, rack) for h in (scanned, found)]
             assert costs[0] == costs[1], (task.name, task.step.spec, costs)
         type(self).chosen += found is not None
@@ -61,22 +65,22 @@
 
     def _cost(self, task: Task, host: Worker | None, rack: str) -> float:
         assert host is not None, task.name
-        cost = hosts.fit(task.step.spec, host, self._plain_view)
+        cost = hosts.fit(task.step.spec, host, self._scan_context)
         return cost + hosts.penalties(task, host, rack)
 
-    def close(self, host: Worker) -> None:
-        """Has a worker left out."""
-        self._plain.remove(host)
-        super().close(host)
+    def exclude(self, host: Worker) -> None:
+        """Excludes a worker."""
+        self._scanned_hosts.remove(host)
+        super().exclude(host)
 
-    def reopen(self) -> None:
-        """Takes all in again."""
-        self._plain = list(self._whole)
-        super().reopen()
+    def include_all(self) -> None:
+        """Includes all workers again."""
+        self._scanned_hosts = list(self._all_hosts)
+        super().include_all()
 
 
-class _Day:
-    """A day of a small cell, drawn from a seed."""
+class _RandomDay:
+    """Random load on a small cell, drawn from a seed."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -126,8 +130,8 @@
             )
         )
 
-    def bring_jobs(self) -> None:
-        """Brings some, of which a task may have failed or be on its way."""
+    def submit_jobs(self) -> None:
+        """Submits jobs whose tasks may have failed or have a destination."""
         draw = self.random
         for _ in range(draw.randint(0, 4)):
             queue: Queue = draw.choice((QUEUE, QUEUE, _LATER))
@@ -144,8 +148,8 @@
                     until = trio.current_time() + 0.4
                     task.bound_for = Destination(draw.choice(numbers), until)
 
-    def work(self) -> None:
-        """Has what was ordered happen, and some runs end."""
+    def advance(self) -> None:
+        """Carries out ordered starts and stops, and ends some runs."""
         draw, cell, now = self.random, self.cell, trio.current_time()
         for _, run, _, _ in cell.kept.started:
             run.enter(RunState.RUNNING, now)
@@ -181,26 +185,26 @@
                 for job in (f"{number}x{now}" for number in range(2)):
                     quarantine.note_failed(worker.life.id, job, now - 2.7)
 
-    async def live(self) -> None:
-        """Lives through the day."""
+    async def run_cell(self) -> None:
+        """Runs the cell for all rounds."""
         with mock.patch.object(wall, "now", trio.current_time):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.cell.run)
                 for _ in range(_ROUNDS):
-                    self.bring_jobs()
+                    self.submit_jobs()
                     await trio.sleep(0.3)
-                    self.work()
+                    self.advance()
                 nursery.cancel_scope.cancel()
 
 
-async def _live(seed: int) -> None:
-    await _Day(seed).live()
+async def _run_day(seed: int) -> None:
+    await _RandomDay(seed).run_cell()
 
 
 def test_lists_choose_workers_as_a_look_at_all_of_them_does() -> None:
-    with mock.patch.object(placer, "Field", _CheckedField):
+    with mock.patch.object(placer, "HostIndex", _CheckedField):
         for seed in range(_DAYS):
-            run_virtual(partial(_live, seed), seed)
+            run_virtual(partial(_run_day, seed), seed)
     assert _CheckedField.chosen > 60 * _DAYS, _CheckedField.chosen
 
 
@@ -210,15 +214,15 @@
         worker, learned = cell.workers[0], cell.learned
         for job in ("a", "b"):
             learned.quarantine.note_failed(worker.life.id, job, 0.0)
-        view = Arranger(learned)
+        arranger = Arranger(learned)
         advice = cell.dispatcher.advice
         lasting = StepSpec(2, Size(500, 500, 0), lasting=True)
         steps = [make_step(f"j{number}", lasting) for number in range(3)]
         placer_ = placer.Placer(
-            [worker], [worker], learned, view, advice, Isolation(), 4.0
+            [worker], [worker], learned, arranger, advice, Isolation(), 4.0
         )
-        # Left out of all steps that follow; but what has waited for long may
-        # try it again.
+        # The worker is excluded for all later steps, except for those that have
+        # waited for long.
         assert [len(placer_.place(step)) for step in steps[:2]] == [1, 0]
         assert [len(placer_.place_anywhere(s)) for s in steps[1:]] == [1, 1]
 
@@ -226,8 +230,9 @@
 
 
 def test_what_came_in_this_pass_counts_for_what_shuts_out() -> None:
-    # The image that came makes the pair with the other one doubtful enough to
-    # be tried again, which the list of a kind begun later has to know.
+    # The serving image placed during the pass forms a doubtful pair with the
+    # best-effort image, which may be retried. A shortlist made after that
+    # placement has to include the new image.
     async def choose() -> None:
         disturbance = Disturbance()
         disturbance.restore([Pair("s2", "f", 4.0, 3.0)], 0.0)
@@ -240,18 +245,18 @@
         for worker in workers[1:]:
             put_to_work(worker, make_step(f"f{worker.number}", filling))
         compatibility = Compatibility(["f"], disturbance)
-        view = View(
+        context = PlacementContext(
             disturbance,
-            Outlook({"f": 1.0}, compatibility, "f"),
+            CapacityValue({"f": 1.0}, compatibility, "f"),
             Probes(disturbance, workers),
         )
-        field = Field(workers, view)
+        field = HostIndex(workers, context)
         other = make_step("g", filling._replace(image="g"))
         assert field.choose(other.tasks[0]) is not None
         put_to_work(workers[0], make_step("new", serving._replace(image="s2")))
         field.note_changed(workers[0])
         task = make_step("f", filling).tasks[0]
-        assert hosts.choose(task, workers, view) is workers[0]
+        assert hosts.choose(task, workers, context) is workers[0]
         assert field.choose(task) is workers[0]
 
     run_virtual(choose)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""Workers are opened for what waits to fill, by few moves."""
+"""Few moves of serving tasks make room for waiting best-effort tasks."""
 
 from collections import Counter
 from collections.abc import Mapping, Sequence
@@ -14,9 +14,13 @@
 from pimentocross.owner.learned import Learned
 from pimentocross.placement.demand import Demand
 from pimentocross.placement.disturbance import Disturbance, Pair
-from pimentocross.placement.host import left_to_fill
-from pimentocross.placement.layout import Compatibility, Outlook, scarcities
-from pimentocross.placement.moves import Mover, seat_of
+from pimentocross.placement.host import best_effort_cpu_limit
+from pimentocross.placement.layout import (
+    CapacityValue,
+    Compatibility,
+    scarcities,
+)
+from pimentocross.placement.moves import Mover, move_candidate
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import (
     LASTS,
@@ -39,14 +43,14 @@
     spec,
 )
 
-_SEAT = Size(2000, 1000, 0)
-_FILLER = Size(1000, 500, 0)
+_SERVING_SIZE = Size(2000, 1000, 0)
+_BEST_EFFORT_SIZE = Size(1000, 500, 0)
 
 
 def _serving(image: str, width: int = 1, away_most: int = 1) -> StepSpec:
     return StepSpec(
         width,
-        _SEAT,
+        _SERVING_SIZE,
         lasting=True,
         image=image,
         target_tail=20,
@@ -61,7 +65,7 @@
         self.number = number
         self.filling: Mapping[str, int] = {}
         self.filled = 0
-        self.suffers = False
+        self.misses_target = False
         self.is_isolating = False
         self.tasks = [
             Job(f"{number}.{i}", QUEUE, JobSpec("", (_serving(image),)), 0.0)
@@ -79,19 +83,19 @@
     def serving(self) -> Mapping[str, int]:
         counts: Counter[str] = Counter()
         for task in self.tasks:
-            counts[task.step.spec.image] += _SEAT.cpu
+            counts[task.step.spec.image] += _SERVING_SIZE.cpu
         return counts
 
     @property
     def free(self) -> Size:
-        return ROOM.minus(Size(_SEAT.cpu * len(self.tasks), 0, 0))
+        return ROOM.minus(Size(_SERVING_SIZE.cpu * len(self.tasks), 0, 0))
 
     def count_of(self, step: Step) -> int:
         return sum(task.step is step for task in self.tasks)
 
 
-def _known(pairs: Mapping[str, str]) -> Disturbance:
-    """Returns sure knowledge: each image that fills, and whom it disturbs."""
+def _disturbance_of(pairs: Mapping[str, str]) -> Disturbance:
+    """Returns certain estimates from best-effort images and their victims."""
     disturbance = Disturbance()
     disturbance.restore(
         [
@@ -104,27 +108,27 @@
     return disturbance
 
 
-def _outlook(
+def _capacity_value(
     demand: Mapping[str, int],
     hosts: Sequence[_Host],
     disturbance: Disturbance,
-) -> Outlook:
+) -> CapacityValue:
     compatibility = Compatibility(demand, disturbance)
     scarcity = scarcities(demand, hosts, compatibility)
-    return Outlook(scarcity.shares, compatibility, scarcity.worst)
+    return CapacityValue(scarcity.shares, compatibility, scarcity.worst)
 
 
-def _open_room(
+def _usable_demand(
     demand: Mapping[str, int],
     hosts: Sequence[_Host],
     disturbance: Disturbance,
 ) -> int:
-    """Returns how much of a demand could fill, were each image alone."""
+    """Returns how much of a demand has room, each image taken alone."""
     compatibility = Compatibility(demand, disturbance)
     room: Counter[str] = Counter()
     for host in hosts:
-        for image in compatibility.open_to(host.serving):
-            room[image] += left_to_fill(host)
+        for image in compatibility.admitted_images(host.serving):
+            room[image] += best_effort_cpu_limit(host)
     return sum(min(wanted, room[i]) for i, wanted in demand.items())
 
 
@@ -133,15 +137,17 @@
     hosts: Mapping[int, _Host],
     disturbance: Disturbance,
 ) -> int:
-    """Makes moves until none is worth it; returns how many tasks moved."""
+    """Makes moves until none gains enough; returns how many tasks moved."""
     moved = 0
     all_hosts = list(hosts.values())
     for _ in range(60):
-        outlook = _outlook(demand, all_hosts, disturbance)
-        seats = [
-            seat_of(task, host) for host in all_hosts for task in host.tasks
+        capacity_value = _capacity_value(demand, all_hosts, disturbance)
+        candidates = [
+            move_candidate(task, host)
+            for host in all_hosts
+            for task in host.tasks
         ]
-        move = Mover(all_hosts, outlook).best(seats, 1_000_000)
+        move = Mover(all_hosts, capacity_value).best(candidates, 1_000_000)
         if move is None:
             break
         for task, source, target in (
@@ -156,8 +162,8 @@
     return moved
 
 
-def _mixed_hall(images: str) -> dict[int, _Host]:
-    """Returns 24 workers, nine tenths reserved, images mixed on each."""
+def _mixed_hosts(images: str) -> dict[int, _Host]:
+    """Returns 24 workers, nine tenths reserved, with mixed images on each."""
     random_ = random.Random(3)
     return {
         number: _Host(number, random_.choices(images, k=random_.choice((3, 4))))
@@ -166,48 +172,49 @@
 
 
 def test_moves_open_a_mixed_hall_to_what_is_shut_out() -> None:
-    # The played load: nine tenths of the room reserved by five images, mixed
-    # on every worker, and six images that fill, each borne by three of five.
+    # The simulated load: five serving images, mixed on every worker, reserve
+    # nine tenths of the room. Three of them tolerate each of the six
+    # best-effort images.
     images = "abcde"
     victims = {f"f{n}": images[n % 5] + images[(n + 2) % 5] for n in range(6)}
-    disturbance = _known(victims)
-    hosts = _mixed_hall(images)
+    disturbance = _disturbance_of(victims)
+    hosts = _mixed_hosts(images)
     demand = dict.fromkeys(victims, 80_000)
-    before = _open_room(demand, list(hosts.values()), disturbance)
+    before = _usable_demand(demand, list(hosts.values()), disturbance)
     moved = _rearrange(demand, hosts, disturbance)
-    after = _open_room(demand, list(hosts.values()), disturbance)
+    after = _usable_demand(demand, list(hosts.values()), disturbance)
     assert after >= 2 * before, (before, after, moved)
     assert moved <= 60, moved
 
 
 def test_an_image_that_one_of_five_bears_gets_workers_of_its_own() -> None:
-    # The played load: hundreds of tasks of one image waited for half a minute
-    # beside 500 idle cores, as no worker served only what bears it, and no
-    # single move changed that.
-    disturbance = _known({"x": "abcd", "y": "e"})
-    hosts = _mixed_hall("abcde")
+    # The simulated load: hundreds of tasks of one image waited for half a
+    # minute while 500 cores were idle. Every worker had a serving image that
+    # does not tolerate it, and no single move changed that.
+    disturbance = _disturbance_of({"x": "abcd", "y": "e"})
+    hosts = _mixed_hosts("abcde")
     demand = {"x": 60_000, "y": 20_000}
     compatibility = Compatibility(demand, disturbance)
     open_before = [
         host
         for host in hosts.values()
-        if "x" in compatibility.open_to(host.serving)
+        if "x" in compatibility.admitted_images(host.serving)
     ]
     assert not open_before
     moved = _rearrange(demand, hosts, disturbance)
     room = sum(
-        left_to_fill(host)
+        best_effort_cpu_limit(host)
         for host in hosts.values()
-        if "x" in compatibility.open_to(host.serving)
+        if "x" in compatibility.admitted_images(host.serving)
     )
     assert room >= 12_000, (room, moved)
     assert moved <= 60, moved
 
 
 def test_for_an_image_that_none_bears_a_worker_is_emptied() -> None:
-    # The played load: three of nine images were borne by nothing that served,
-    # and waited for 20 s beside 94 cores that lay free in pieces.
-    disturbance = _known({"x": "ab"})
+    # The simulated load: no serving image tolerated three of nine images. They
+    # waited for 20 s while 94 cores were free in small pieces.
+    disturbance = _disturbance_of({"x": "ab"})
     hosts = {
         number: _Host(number, "ab"[: 1 + number % 2]) for number in range(8)
     }
@@ -217,33 +224,38 @@
 
 
 def test_what_bears_all_that_fills_is_left_where_it_is() -> None:
-    disturbance = _known({"x": "a"})
+    disturbance = _disturbance_of({"x": "a"})
     hosts = [_Host(0, "bb"), _Host(1, "aabb")]
-    outlook = _outlook({"x": 400}, hosts, disturbance)
-    assert outlook.is_plain
-    seats = [seat_of(task, host) for host in hosts for task in host.tasks]
-    assert Mover(hosts, outlook).best(seats, 1_000_000) is None
+    capacity_value = _capacity_value({"x": 400}, hosts, disturbance)
+    assert capacity_value.is_unconstrained
+    candidates = [
+        move_candidate(task, host) for host in hosts for task in host.tasks
+    ]
+    assert Mover(hosts, capacity_value).best(candidates, 1_000_000) is None
 
 
 def test_a_worker_is_opened_by_exchanging_the_one_that_shuts_out() -> None:
-    disturbance = _known({"x": "a"})
+    disturbance = _disturbance_of({"x": "a"})
     hosts = [_Host(0, "aaab"), _Host(1, "abbb"), _Host(2, "aaaa")]
-    outlook = _outlook({"x": 9000}, hosts, disturbance)
-    seats = [seat_of(task, host) for host in hosts for task in host.tasks]
-    # No room anywhere: the task is exchanged for the one that bears it.
-    move = Mover(hosts, outlook).best(seats, 1_000_000)
+    capacity_value = _capacity_value({"x": 9000}, hosts, disturbance)
+    candidates = [
+        move_candidate(task, host) for host in hosts for task in host.tasks
+    ]
+    # No worker has free room: the blocking task is swapped for one that
+    # tolerates the image.
+    move = Mover(hosts, capacity_value).best(candidates, 1_000_000)
     assert move is not None and move.comes is not None
     ends = {move.leaves.step.spec.image, move.comes.step.spec.image}
     assert {move.source, move.to} == {0, 1} and ends == {"a", "b"}
-    # With less allowed to be on its way, it stays.
-    assert Mover(hosts, outlook).best(seats, 3999) is None
+    # No swap if less processor time may be moved.
+    assert Mover(hosts, capacity_value).best(candidates, 3999) is None
 
 
 def test_a_mover_that_is_kept_finds_what_a_new_one_finds() -> None:
-    # Looking for moves anew for each of several took 0.15 s of a pass over 246
-    # workers; now one mover is asked again, without workers that are busy.
+    # Building a new mover for each of several moves took 0.15 s of a pass over
+    # 246 workers. Now one mover is reused, with the busy workers excluded.
     random_ = random.Random(5)
-    disturbance = _known({"x": "abcd", "y": "e", "z": "ace"})
+    disturbance = _disturbance_of({"x": "abcd", "y": "e", "z": "ace"})
     found = 0
     for _ in range(20):
         hosts = [
@@ -251,16 +263,20 @@
             for number in range(60)
         ]
         demand = {"x": 90_000, "y": 20_000, "z": 60_000}
-        outlook = _outlook(demand, hosts, disturbance)
-        kept = Mover(hosts, outlook)
+        capacity_value = _capacity_value(demand, hosts, disturbance)
+        kept = Mover(hosts, capacity_value)
         for count in (0, 2, 12):
             busy = set(random_.sample(range(60), count))
             free = [host for host in hosts if host.number not in busy]
-            seats = [
-                seat_of(task, host) for host in free for task in host.tasks
+            candidates = [
+                move_candidate(task, host)
+                for host in free
+                for task in host.tasks
             ]
-            move = kept.best(seats, 1_000_000, busy)
-            assert move == Mover(free, outlook).best(seats, 1_000_000)
+            move = kept.best(candidates, 1_000_000, busy)
+            assert move == Mover(free, capacity_value).best(
+                candidates, 1_000_000
+            )
             found += move is not None
     assert found > 30, found
 
@@ -268,11 +284,11 @@
 def _plan(task: TaskName) -> TaskPlan:
     if task.job.startswith("fill"):
         return TaskPlan(1.0, Size(0, 500, 0))
-    return TaskPlan(LASTS, _SEAT)
+    return TaskPlan(LASTS, _SERVING_SIZE)
 
 
-async def _play(hall: WorkerHall) -> None:
-    """Serves on two full mixed workers, then submits what is shut out."""
+async def _run_cell(hall: WorkerHall) -> None:
+    """Fills two workers with mixed serving tasks, then best-effort ones."""
     store = StoreStandin()
     learned = Learned()
     learned.disturbance.restore(
@@ -294,8 +310,12 @@
                     await owner.desk.submit(job, QUEUE, spec(step))
                 await trio.sleep(4.0)
             for image in "xy":
-                filler = StepSpec(3, _FILLER, 1.0, image=image, fills=True)
-                await owner.desk.submit(f"fill-{image}", QUEUE, spec(filler))
+                best_effort = StepSpec(
+                    3, _BEST_EFFORT_SIZE, 1.0, image=image, fills=True
+                )
+                await owner.desk.submit(
+                    f"fill-{image}", QUEUE, spec(best_effort)
+                )
             await trio.sleep(8.0)
 
 
@@ -304,7 +324,7 @@
 
 
 def _most_away(journal: Sequence[RunEvent], job: str) -> int:
-    """Returns how many tasks of a job of two were away at once, at most."""
+    """Returns the most tasks of a job of two that were down at once."""
     at_work: set[TaskName] = set()
     most = 0
     for event in journal:
@@ -320,7 +340,7 @@
 
 def test_an_owner_exchanges_what_serves_and_lets_fillers_in() -> None:
     hall = make_hall(1, _plan)
-    run_virtual(lambda: _play(hall))
+    run_virtual(lambda: _run_cell(hall))
     assert _done(hall.journal) == 6
     for job in ("a0", "a1", "b0", "b1"):
         assert _most_away(hall.journal, job) <= 1, job
@@ -329,7 +349,7 @@
 def test_without_exchanges_the_same_fillers_are_shut_out() -> None:
     hall = make_hall(1, _plan)
     with mock.patch.object(Arranger, "pass_over", lambda *_: None):
-        run_virtual(lambda: _play(hall))
+        run_virtual(lambda: _run_cell(hall))
     assert _done(hall.journal) == 0
 
 
@@ -337,6 +357,6 @@
     demand = Demand()
     assert demand.note({"x": 40_000}, 0.0) == {"x": 40_000}
     assert demand.note({}, 4.0)["x"] > 20_000
-    # A larger one takes its place at once, and what is long gone is forgotten.
+    # Higher demand counts at once, and old demand is dropped.
     assert demand.note({"x": 90_000}, 4.5)["x"] == 90_000
     assert demand.note({}, 90.0) == {}
--- a/tests/test_placement_under_load.py
+++ b/tests/test_placement_under_load.py
@@ -9,8 +9,12 @@
 from pimentocross.placement.disturbance import Disturbance, Pair
 from pimentocross.placement.durations import Durations
 from pimentocross.placement.host import left_over
-from pimentocross.placement.hosts import View, choose, plain_view
-from pimentocross.placement.layout import Compatibility, Outlook
+from pimentocross.placement.hosts import (
+    PlacementContext,
+    choose,
+    unconstrained_context,
+)
+from pimentocross.placement.layout import CapacityValue, Compatibility
 from pimentocross.placement.pacing import (
     FULL_PACE,
     Filler,
@@ -45,7 +49,7 @@
         self.free = free
         self.serving = Counter(serving or {})
         self.filling = Counter(filling or {})
-        self.suffers = False
+        self.misses_target = False
         self.is_isolating = False
 
     @property
@@ -141,8 +145,14 @@
     shop = _Host(0, serving={"shop": 4000})
     maps = _Host(1, serving={"maps": 4000})
     step = _step(_filler("heavy"))
-    assert choose(step.tasks[0], [shop, maps], plain_view(disturbance)) is maps
-    assert choose(step.tasks[0], [shop], plain_view(disturbance)) is None
+    assert (
+        choose(step.tasks[0], [shop, maps], unconstrained_context(disturbance))
+        is maps
+    )
+    assert (
+        choose(step.tasks[0], [shop], unconstrained_context(disturbance))
+        is None
+    )
 
 
 def test_fillers_take_no_more_than_what_is_left_over() -> None:
@@ -151,7 +161,7 @@
     step = _step(StepSpec(40, Size(1000, 100, 0), 1.0, image="f", fills=True))
     placed = 0
     for task in step.tasks:
-        host = choose(task, hosts, plain_view(Disturbance()))
+        host = choose(task, hosts, unconstrained_context(Disturbance()))
         if host is None:
             break
         host.filling["f"] += 1000
@@ -162,7 +172,7 @@
 
 def _spread(disturbance: Disturbance, hosts: list[_Host]) -> int:
     """Places sixteen tasks of an image in one pass; returns how many."""
-    view = plain_view(disturbance)
+    view = unconstrained_context(disturbance)
     step = _step(_filler("new", 2000)._replace(width=16))
     view = view._replace(probes=Probes(disturbance, hosts))
     placed = 0
@@ -205,11 +215,13 @@
     return disturbance
 
 
-def _starved(disturbance: Disturbance, hosts: list[_Host]) -> View:
+def _starved(disturbance: Disturbance, hosts: list[_Host]) -> PlacementContext:
     """Returns a view in which there is no room for one image."""
     compatibility = Compatibility(["batch"], disturbance)
-    outlook = Outlook({"batch": 1.0}, compatibility, "batch")
-    return View(disturbance, outlook, Probes(disturbance, hosts))
+    capacity_value = CapacityValue({"batch": 1.0}, compatibility, "batch")
+    return PlacementContext(
+        disturbance, capacity_value, Probes(disturbance, hosts)
+    )
 
 
 def test_a_pair_blamed_on_little_evidence_is_tried_again_by_one_task() -> None:
@@ -226,7 +238,7 @@
             assert view.probes.note("batch", host)
             assert choose(step.tasks[1], hosts, view) is None
     # With room elsewhere there is no reason to try.
-    view = plain_view(_blamed(3.0))
+    view = unconstrained_context(_blamed(3.0))
     assert choose(step.tasks[0], hosts, view) is None
     # Beside others the reading would say nothing of this pair.
     busy = [_Host(0, serving={"shop": 4000}, filling={"other": 1000})]
@@ -272,7 +284,9 @@
     empty = _Host(1)
     mixed = _Host(2, Size(1500, 9000, 0), serving={"b": 4000})
     chosen = choose(
-        step.tasks[0], [mixed, empty, alike], plain_view(Disturbance())
+        step.tasks[0],
+        [mixed, empty, alike],
+        unconstrained_context(Disturbance()),
     )
     assert chosen is alike
 
@@ -313,9 +327,9 @@
 def test_nothing_fills_beside_a_task_that_is_over_its_target() -> None:
     calm, over = _Host(0, serving={"a": 4000}), _Host(1, serving={"a": 1000})
     task = _step(_filler("x")).tasks[0]
-    view = plain_view(Disturbance())
+    view = unconstrained_context(Disturbance())
     assert choose(task, [over], view) is over
-    over.suffers = True
+    over.misses_target = True
     assert choose(task, [calm, over], view) is calm
     assert choose(task, [over], view) is None
 
--- a/tests/test_reclaim.py
+++ b/tests/test_reclaim.py
@@ -1,4 +1,4 @@
-"""Short urgent work finds room though tasks that last hold nearly all."""
+"""Short urgent tasks get room although long-running ones hold nearly all."""
 
 from unittest import mock
 
@@ -10,8 +10,8 @@
 from pimentocross.owner.owner import Owner
 from pimentocross.owner.reclaimer import Reclaimer
 from pimentocross.placement.disturbance import Pair
-from pimentocross.placement.moves import Seat, seat_of
-from pimentocross.placement.reclaim import choose_evictions, tasks_most
+from pimentocross.placement.moves import MoveCandidate, move_candidate
+from pimentocross.placement.reclaim import choose_evictions, task_limit
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import LASTS, TaskPlan
 from pimentocross.standins.worker_hall import WorkerHall
@@ -33,12 +33,12 @@
 
 _LASTING = Size(1900, 1000, 0)
 _SHORT = Size(2000, 1000, 0)
-_FILLER = Size(100, 500, 0)
+_BEST_EFFORT_SIZE = Size(100, 500, 0)
 _BATCH = QUEUE._replace(name="batch", prefix="/batch/", priority=2)
 
 
 class _Host:
-    """A worker with given room."""
+    """A worker with a given amount of free room."""
 
     def __init__(self, number: int, free: Size) -> None:
         self.number = number
@@ -47,7 +47,7 @@
         self.serving: dict[str, int] = {}
         self.filling: dict[str, int] = {}
         self.filled = 0
-        self.suffers = False
+        self.misses_target = False
         self.is_isolating = False
 
     def count_of(self, step: object) -> int:
@@ -59,28 +59,32 @@
     return Job("j", QUEUE, spec(step), 0.0).occurrences[0].steps[0].tasks
 
 
-def _seat(host: _Host, cpu: int) -> Seat:
-    return seat_of(_tasks(1, Size(cpu, 100, 0), lasting=True)[0], host)
+def _candidate(host: _Host, cpu: int) -> MoveCandidate:
+    return move_candidate(_tasks(1, Size(cpu, 100, 0), lasting=True)[0], host)
 
 
 def test_the_smallest_that_leaves_enough_gives_way() -> None:
     near, far = _Host(0, Size(400, 9000, 0)), _Host(1, Size(100, 9000, 0))
-    seats = [_seat(near, 5000), _seat(near, 1700), _seat(far, 1700)]
-    chosen = choose_evictions(_tasks(1, _SHORT), seats, 10_000)
+    candidates = [
+        _candidate(near, 5000),
+        _candidate(near, 1700),
+        _candidate(far, 1700),
+    ]
+    chosen = choose_evictions(_tasks(1, _SHORT), candidates, 10_000)
     # 400 and 1,700 are enough; 100 and 1,700 are not.
-    assert chosen == [seats[1]]
+    assert chosen == [candidates[1]]
 
 
 def test_one_that_leaves_room_for_several_is_enough() -> None:
     host = _Host(0, Size(400, 9000, 0))
-    seats = [_seat(host, 6000), _seat(host, 6000)]
-    assert len(choose_evictions(_tasks(3, _SHORT), seats, 20_000)) == 1
+    candidates = [_candidate(host, 6000), _candidate(host, 6000)]
+    assert len(choose_evictions(_tasks(3, _SHORT), candidates, 20_000)) == 1
 
 
 def test_no_more_gives_way_than_is_allowed() -> None:
     hosts = [_Host(number, Size(400, 9000, 0)) for number in range(9)]
-    seats = [_seat(host, 1900) for host in hosts]
-    chosen = choose_evictions(_tasks(9, _SHORT), seats, 4_000)
+    candidates = [_candidate(host, 1900) for host in hosts]
+    chosen = choose_evictions(_tasks(9, _SHORT), candidates, 4_000)
     assert len(chosen) == 2
 
 
@@ -92,8 +96,8 @@
     return TaskPlan(LASTS, _LASTING)
 
 
-async def _play_short(hall: WorkerHall, in_time: list[bool]) -> None:
-    """Fills all workers with tasks that last, then sends short jobs."""
+async def _run_short(hall: WorkerHall, in_time: list[bool]) -> None:
+    """Fills all workers with long-running tasks, then submits short jobs."""
     with mock.patch.object(wall, "now", trio.current_time):
         async with running(make_owner(StoreStandin(), hall, 1)) as owner:
             watch = StepSpec(32, _LASTING, lasting=True, away_most=2)
@@ -112,16 +116,16 @@
     assert count(hall.journal, "lapsed") == 0
 
 
-def _short_in_time() -> tuple[int, WorkerHall]:
+def _count_short_in_time() -> tuple[int, WorkerHall]:
     # Eight workers of 8 cores, 7.6 of them reserved on each.
     hall = make_hall(8, _plan)
     in_time: list[bool] = []
-    run_virtual(lambda: _play_short(hall, in_time))
+    run_virtual(lambda: _run_short(hall, in_time))
     return sum(in_time), hall
 
 
 def test_lasting_tasks_give_way_to_short_work_and_come_back() -> None:
-    served, hall = _short_in_time()
+    served, hall = _count_short_in_time()
     assert served >= 17, served
     at_work = {
         (event.task, event.run)
@@ -134,12 +138,12 @@
     }
     assert len(at_work) == 32
     with mock.patch.object(Reclaimer, "pass_over", lambda *_: None):
-        before, _ = _short_in_time()
+        before, _ = _count_short_in_time()
     assert before == 0
 
 
-async def _play_pressure(hall: WorkerHall) -> None:
-    """Keeps more short work waiting than there is room for."""
+async def _run_pressure(hall: WorkerHall) -> None:
+    """Keeps more short tasks waiting than there is room for."""
     with mock.patch.object(wall, "now", trio.current_time):
         async with running(make_owner(StoreStandin(), hall, 1)) as owner:
             watch = StepSpec(16, _LASTING, lasting=True)
@@ -153,16 +157,16 @@
 
 
 def test_no_lasting_task_stays_away_however_much_short_work_waits() -> None:
-    # On a played day one was away for 20 s: tasks of its step gave way in
-    # turn, and each time the whole step had to wait anew.
+    # On a simulated day one task was down for 20 s: tasks of its step were
+    # evicted in turn, and each time the whole step's wait started again.
     hall = make_hall(8, _plan)
-    run_virtual(lambda: _play_pressure(hall))
+    run_virtual(lambda: _run_pressure(hall))
     assert any(e.what == "stopped" for e in hall.journal)
     assert longest_away(hall.journal) < 4.0, longest_away(hall.journal)
 
 
-async def _play_fillers(hall: WorkerHall) -> None:
-    """Has more short steps wait than a pass looks at, and then fillers."""
+async def _run_best_effort(hall: WorkerHall) -> None:
+    """Submits more short steps than a pass considers, then best-effort ones."""
     config = CONFIG._replace(queues=(QUEUE, _BATCH))
     with mock.patch.object(wall, "now", trio.current_time):
         owner = make_owner(StoreStandin(), hall, 1, config=config)
@@ -173,21 +177,24 @@
             for number in range(60):
                 wide = StepSpec(1, Size(7000, 1000, 0), 0.5)
                 await owner.desk.submit(f"short{number}", QUEUE, spec(wide))
-            filler = StepSpec(3, _FILLER, 0.5, image="x", fills=True)
-            await owner.desk.submit("fill", _BATCH, spec(filler))
+            best_effort = StepSpec(
+                3, _BEST_EFFORT_SIZE, 0.5, image="x", fills=True
+            )
+            await owner.desk.submit("fill", _BATCH, spec(best_effort))
             await trio.sleep(5)
 
 
 def test_fillers_are_started_beside_any_number_of_steps_without_room() -> None:
-    # On a played day 600 filling tasks waited beside 690 idle cores.
+    # On a simulated day 600 best-effort tasks waited while 690 cores were
+    # idle.
     hall = make_hall(1, _plan)
-    run_virtual(lambda: _play_fillers(hall))
+    run_virtual(lambda: _run_best_effort(hall))
     done = [e.task.job for e in hall.journal if e.what == "done"]
     assert done.count("fill") == 3
 
 
-async def _play_shut_out(hall: WorkerHall) -> None:
-    """Has many steps of an image wait that is shut out, then another's."""
+async def _run_excluded(hall: WorkerHall) -> None:
+    """Submits many steps of an excluded image, then one of another image."""
     store = StoreStandin()
     learned = Learned()
     pair = Pair("serving", "shut-out", 9.0, 0.1)
@@ -208,45 +215,54 @@
             await owner.desk.submit("watch", QUEUE, spec(watch))
             await trio.sleep(2)
             for number in range(60):
-                filler = StepSpec(1, _FILLER, 0.5, image="shut-out", fills=True)
-                await owner.desk.submit(f"shut{number}", QUEUE, spec(filler))
-            filler = StepSpec(3, _FILLER, 0.5, image="borne", fills=True)
-            await owner.desk.submit("fill", _BATCH, spec(filler))
+                best_effort = StepSpec(
+                    1, _BEST_EFFORT_SIZE, 0.5, image="shut-out", fills=True
+                )
+                await owner.desk.submit(
+                    f"shut{number}", QUEUE, spec(best_effort)
+                )
+            best_effort = StepSpec(
+                3, _BEST_EFFORT_SIZE, 0.5, image="borne", fills=True
+            )
+            await owner.desk.submit("fill", _BATCH, spec(best_effort))
             await trio.sleep(5)
 
 
 def test_an_image_that_is_shut_out_holds_up_no_other() -> None:
-    # On a played day 380 tasks of three images waited, and a pass gave up
-    # before it came to those that had room.
+    # On a simulated day 380 tasks of three excluded images waited, and each
+    # pass stopped before it came to the tasks that had room.
     hall = make_hall(1, _plan)
-    run_virtual(lambda: _play_shut_out(hall))
+    run_virtual(lambda: _run_excluded(hall))
     done = [e.task.job for e in hall.journal if e.what == "done"]
     assert done.count("fill") == 3
     assert set(done) == {"fill"}
 
 
 def test_many_steps_give_one_task_each_at_the_same_moment() -> None:
-    # At 270 workers short work needs a hundred starts a second. The twelve
-    # smallest tasks were chosen, which were of one step or two, and each step
-    # gives one: `gives_way` was logged once or twice a second.
+    # With 270 workers short work needs a hundred starts a second. Only the
+    # twelve smallest tasks were considered, which belonged to one or two steps.
+    # As each step gives one task, `gives_way` was logged only once or twice a
+    # second.
     hosts = [_Host(number, Size(400, 9000, 0)) for number in range(40)]
     steps = [_tasks(20, _LASTING, lasting=True) for _ in range(4)]
-    seats = [
-        seat_of(task, hosts[number * 10 + place % 10])
+    candidates = [
+        move_candidate(task, hosts[number * 10 + index % 10])
         for number, tasks in enumerate(steps)
-        for place, task in enumerate(tasks)
+        for index, task in enumerate(tasks)
     ]
-    chosen = choose_evictions(_tasks(12, _SHORT), seats, 100_000)
-    assert len({seat.task.step for seat in chosen}) == len(chosen) == 4
+    chosen = choose_evictions(_tasks(12, _SHORT), candidates, 100_000)
+    assert (
+        len({candidate.task.step for candidate in chosen}) == len(chosen) == 4
+    )
 
 
 def test_room_is_made_for_as_many_short_tasks_as_a_large_cell_has() -> None:
-    assert tasks_most(24) == 12
-    assert tasks_most(270) > 100
+    assert task_limit(24) == 12
+    assert task_limit(270) > 100
 
 
-async def _play_crowd(hall: WorkerHall, in_time: list[bool]) -> None:
-    """Asks for twice the room by tasks that last, then sends short jobs."""
+async def _run_overload(hall: WorkerHall, in_time: list[bool]) -> None:
+    """Submits long-running tasks for twice the room, then short jobs."""
     with mock.patch.object(wall, "now", trio.current_time):
         async with running(make_owner(StoreStandin(), hall, 1)) as owner:
             watch = StepSpec(8, _LASTING, lasting=True)
@@ -269,22 +285,22 @@
 
 
 def test_short_work_has_its_share_though_more_is_to_last_than_fits() -> None:
-    # Workers were lost, and more and more came that lasts: 1,000 such tasks
-    # waited, each piece of room that a short task left went to one of them,
-    # and short work, a twentieth of all, was left with none of it:
+    # Workers were lost and ever more long-running tasks arrived, until 1,000 of
+    # them waited. Whenever a short task ended, one of them took its room, so
+    # that short work, a twentieth of all work, got none:
     #
     #     "load" capacity 4744 serving 4594 committed 4596 waiting 1019
     #     first start of short work p95 20 s, a third of it came to nothing
     hall = make_hall(32, _plan)
     in_time: list[bool] = []
-    run_virtual(lambda: _play_crowd(hall, in_time))
+    run_virtual(lambda: _run_overload(hall, in_time))
     assert len(in_time) == 40
     assert sum(in_time) >= 32, sum(in_time)
     assert count(hall.journal, "lapsed") == 0
 
 
-async def _play_take_over(hall: WorkerHall, in_time: list[bool]) -> None:
-    """Fills all workers, and sends short jobs to an owner that follows."""
+async def _run_take_over(hall: WorkerHall, in_time: list[bool]) -> None:
+    """Fills all workers, then submits short jobs to the next owner."""
     store = StoreStandin()
     with mock.patch.object(wall, "now", trio.current_time):
         async with running(make_owner(store, hall, 1)) as owner:
@@ -292,29 +308,31 @@
             for number in range(4):
                 await owner.desk.submit(f"watch{number}", QUEUE, spec(watch))
             await trio.sleep(8)
-        async with running(make_owner(store, hall, 2)) as heir:
-            await heir.settled.wait()
+        async with running(make_owner(store, hall, 2)) as successor:
+            await successor.settled.wait()
             short = spec(StepSpec(1, _SHORT, 0.5))
             async with trio.open_nursery() as nursery:
                 for job in ("short0", "short1", "short2"):
-                    await heir.desk.submit(job, QUEUE, short)
-                    nursery.start_soon(_note_in_time, heir, job, in_time)
+                    await successor.desk.submit(job, QUEUE, short)
+                    nursery.start_soon(_note_in_time, successor, job, in_time)
 
 
 def test_a_new_owner_makes_room_at_once() -> None:
-    # What runs counted as just begun when its new owner first heard of it, and
-    # nothing gave way for 3 s: after an outage short work came to nothing.
+    # A new owner took all runs for newly started when they were first reported
+    # to it, and evicted none for 3 s. After an outage short jobs missed their
+    # objective.
     #
     #     36.1 s owner_ready   38.1 s gives_way (47)
     hall = make_hall(8, _plan)
     in_time: list[bool] = []
-    run_virtual(lambda: _play_take_over(hall, in_time))
+    run_virtual(lambda: _run_take_over(hall, in_time))
     assert in_time == [True, True, True]
 
 
 def test_a_wide_step_gives_more_than_a_narrow_one() -> None:
-    # Half of the steps waited for a task or two after workers were lost. None
-    # of those could give, so that short work waited beside all the others.
+    # After workers were lost, half of the steps had a task or two waiting. None
+    # of these steps could give up another task, so that short work had to wait
+    # while all their other tasks ran.
     narrow = _tasks(8, _LASTING, lasting=True)[0].step
     wide = _tasks(24, _LASTING, lasting=True)[0].step
     reclaimer = Reclaimer()
@@ -329,13 +347,13 @@
 
 
 class _CountedHost(_Host):
-    """A worker that counts how often its room is looked at."""
+    """A worker that counts how often its free room is read."""
 
-    looks = 0
+    reads = 0
 
     @property
     def free(self) -> Size:
-        _CountedHost.looks += 1
+        _CountedHost.reads += 1
         return Size(400, 9000, 0)
 
     @free.setter
@@ -345,12 +363,12 @@
 
 def test_looks_for_room_grow_with_steps_and_not_with_their_tasks() -> None:
     hosts = [_CountedHost(number, Size(400, 9000, 0)) for number in range(270)]
-    seats = [_seat(host, 1500) for host in hosts for _ in range(6)]
+    candidates = [_candidate(host, 1500) for host in hosts for _ in range(6)]
     steps = [_tasks(9, _SHORT) for _ in range(15)]
-    _CountedHost.looks = 0
+    _CountedHost.reads = 0
     chosen = choose_evictions(
-        [task for tasks in steps for task in tasks], seats, 1_000_000
+        [task for tasks in steps for task in tasks], candidates, 1_000_000
     )
-    # Nothing leaves enough, so that each seat is looked at.
+    # No candidate leaves enough room, so that each of them is checked.
     assert not chosen
-    assert _CountedHost.looks <= 2 * len(steps) * len(seats)
+    assert _CountedHost.reads <= 2 * len(steps) * len(candidates)
