--- a/pimentocross/owner/admission.py
+++ b/pimentocross/owner/admission.py
@@ -14,7 +14,7 @@
 from pimentocross.owner import wall
 from pimentocross.owner.backlog import Account, Backlog
 from pimentocross.owner.learned import Learned
-from pimentocross.placement.forecast import Load, is_in_vain, retry_after
+from pimentocross.placement.forecast import Load, is_too_late, retry_after
 from pimentocross.placement.urgency import objective, urgency
 from pimentocross.work.queue import Queue
 from pimentocross.work.spec import JobSpec
@@ -99,16 +99,16 @@
             self._backlog.work(account),
             max(self._backlog.recent_room(account, now), rate),
             self._backlog.whole_work(step),
-            durations.chain(step.occurrence),
+            durations.critical_path(step.occurrence),
             objective(step, durations),
         )
         # Most jobs aren't in question even if all that waits went first.
-        if not is_in_vain(load):
+        if not is_too_late(load):
             return None
         rank = urgency(step, durations, job.accepted_at)
         order = self._backlog.order(rank, step)
         load = load._replace(ahead=self._backlog.work_before(account, order))
-        return load if is_in_vain(load) else None
+        return load if is_too_late(load) else None
 
 
 def _has_objective(queue: Queue, spec: JobSpec) -> bool:
--- a/pimentocross/owner/arranger.py
+++ b/pimentocross/owner/arranger.py
@@ -13,7 +13,7 @@
 from pimentocross.placement.layout import Compatibility, Outlook, scarcities
 from pimentocross.placement.moves import Move, Mover, Seat, seat_of
 from pimentocross.placement.probes import RETRY_INTERVAL, Probes
-from pimentocross.placement.soundness import may_take_away
+from pimentocross.placement.soundness import may_evict_task
 from pimentocross.work.state import Destination, Run, Step, Task
 
 # Readings come every half second: more often nothing new is known.
@@ -107,7 +107,7 @@
             busy = {n for m in self._moving for n in m.workers}
             # Each step is looked at once, not for each of its tasks.
             steps = {seat.task.step for seat in seats}
-            may_leave = {step for step in steps if may_take_away(step)}
+            may_leave = {step for step in steps if may_evict_task(step)}
             seats = [
                 seat
                 for seat in seats
--- a/pimentocross/owner/backlog.py
+++ b/pimentocross/owner/backlog.py
@@ -15,16 +15,21 @@
 from pimentocross.observe.decisions import note
 from pimentocross.owner.worker import Worker
 from pimentocross.placement.durations import Durations
-from pimentocross.placement.forecast import RecentRoom
+from pimentocross.placement.forecast import RecentCapacity
 from pimentocross.placement.host import left_over
 from pimentocross.placement.triage import (
     Order,
-    Waiting,
-    burden,
+    WaitingJob,
+    cost_ratio,
     order_of,
-    short_priorities,
+    overloaded_priorities,
+)
+from pimentocross.placement.urgency import (
+    MARGIN,
+    DeadlineClass,
+    Urgency,
+    objective,
 )
-from pimentocross.placement.urgency import MARGIN, Chance, Urgency, objective
 from pimentocross.work.state import Occurrence, Step
 
 # Seconds between two looks: short against the time to spare of any job.
@@ -64,7 +69,7 @@
 class _Entry(NamedTuple):
     """A job that waits, by the first of its steps that do."""
 
-    waiting: Waiting
+    waiting: WaitingJob
     step: Step
 
 
@@ -86,7 +91,9 @@
         self._works: WeakKeyDictionary[Occurrence, float] = WeakKeyDictionary()
         self._means: dict[str, float] = {}
         self._jobs_seen: Counter[str] = Counter()
-        self._recent: dict[Account, RecentRoom] = defaultdict(RecentRoom)
+        self._recent: dict[Account, RecentCapacity] = defaultdict(
+            RecentCapacity
+        )
         self._entries: dict[Account, list[_Entry]] = {}
         # Core-seconds of those.
         self._totals: dict[Account, float] = {}
@@ -169,23 +176,23 @@
         self, account: Account, entries: Iterable[_Entry]
     ) -> set[int]:
         waiting = [entry.waiting for entry in entries]
-        return short_priorities(waiting, self.rooms[account].whole)
+        return overloaded_priorities(waiting, self.rooms[account].whole)
 
     def order(self, rank: Urgency, step: Step) -> Order:
         """Returns where a step goes."""
-        if rank.chance is not Chance.COMFORTABLE or not self._short:
+        if rank.chance is not DeadlineClass.COMFORTABLE or not self._short:
             return order_of(rank)
         short = self._short.get(account_of(step), ())
         if rank.priority not in short:
             return order_of(rank)
-        return order_of(rank, self.burden(step))
+        return order_of(rank, self.cost_ratio(step))
 
-    def burden(self, step: Step) -> float:
+    def cost_ratio(self, step: Step) -> float:
         """Returns what a step's job takes for its worth; the mean is 1."""
         mean = self._means.get(step.job.queue.name, 0.0)
         if mean <= 0:
             return 1.0
-        return burden(step.job.id, self.whole_work(step) / mean)
+        return cost_ratio(step.job.id, self.whole_work(step) / mean)
 
     def whole_work(self, step: Step) -> float:
         """Returns a whole job's core-seconds; a new one counts in the mean."""
@@ -227,16 +234,16 @@
                 works[entry.step.job.queue.name] += entry.waiting.work
         return works
 
-    def _waiting(self, rank: Urgency, step: Step) -> Waiting:
+    def _waiting(self, rank: Urgency, step: Step) -> WaitingJob:
         margin = 0.0
-        if rank.chance is Chance.COMFORTABLE:
+        if rank.chance is DeadlineClass.COMFORTABLE:
             margin = MARGIN * objective(step, self._durations)
         self.whole_work(step)
         work = sum(
             self._work(each, max(each.undone - each.run_count, 0))
             for each in step.occurrence.steps
         )
-        return Waiting(rank, work, margin)
+        return WaitingJob(rank, work, margin)
 
     def _work(self, step: Step, tasks: int) -> float:
         if not tasks:
--- a/pimentocross/owner/care.py
+++ b/pimentocross/owner/care.py
@@ -12,13 +12,13 @@
 from pimentocross.owner.worker import AT_WORK, Worker
 from pimentocross.placement.hosts import HARM_MOST
 from pimentocross.placement.pacing import (
-    MOVE_BELOW,
-    OVER_MOST,
-    SETTLE,
+    MOVE_MAX_PACE,
+    SETTLING_SECONDS,
+    STOP_AFTER_SECONDS,
     Filler,
     next_paces,
 )
-from pimentocross.placement.soundness import may_take_away
+from pimentocross.placement.soundness import may_evict_task
 from pimentocross.placement.stalls import is_stalled
 from pimentocross.work.state import Run, RunState, Task
 
@@ -119,7 +119,7 @@
         """True if a run on an unsound worker should go elsewhere."""
         spec = task.step.spec
         if spec.lasting:
-            return run.percent >= AT_WORK and may_take_away(task.step)
+            return run.percent >= AT_WORK and may_evict_task(task.step)
         for measured in self._learned.progress(worker):
             if measured.run is run:
                 progress = measured.progress
@@ -140,8 +140,10 @@
         return left > worker.drain_left(now)
 
     def _pace_fillers(self, worker: Worker, orders: Orders, now: float) -> None:
-        settled = now - worker.paced_at >= SETTLE
-        if worker.filled and (settled or worker.over_for(now) >= OVER_MOST):
+        settled = now - worker.paced_at >= SETTLING_SECONDS
+        if worker.filled and (
+            settled or worker.over_for(now) >= STOP_AFTER_SECONDS
+        ):
             self._pace_on(worker, orders, now)
 
     def _must_leave(self, worker: Worker, task: Task, run: Run) -> bool:
@@ -156,8 +158,8 @@
             (
                 disturbance.coefficient(image, spec.image) * share
                 for image in worker.serving
-                if disturbance.is_bad(image, spec.image)
-                and not disturbance.is_doubtful(image, spec.image)
+                if disturbance.disturbs(image, spec.image)
+                and not disturbance.is_uncertain(image, spec.image)
             ),
             default=0.0,
         )
@@ -169,11 +171,11 @@
         spec = task.step.spec
         if not spec.saves and run.percent >= _LITTLE_DONE:
             return False
-        if run.pace <= MOVE_BELOW:
+        if run.pace <= MOVE_MAX_PACE:
             # It was slowed before, and that has not become better.
             return True
         return any(
-            self._learned.disturbance.is_bad(image, spec.image)
+            self._learned.disturbance.disturbs(image, spec.image)
             for image in worker.serving
         )
 
@@ -200,11 +202,11 @@
             worker.readings(now), fillers, self._learned.disturbance
         )
         for (task, run), pace in zip(runs, paces, strict=True):
-            stuck = pace <= MOVE_BELOW and now - run.paced_at > _STUCK_AFTER
+            stuck = pace <= MOVE_MAX_PACE and now - run.paced_at > _STUCK_AFTER
             if pace == run.pace and not (stuck and run.paced_at):
                 continue
             worker.paced_at = run.paced_at = now
-            if pace <= MOVE_BELOW and self._is_misplaced(worker, task, run):
+            if pace <= MOVE_MAX_PACE and self._is_misplaced(worker, task, run):
                 orders.stop(worker, task, run, "disturbs what serves")
             else:
                 orders.pace(worker, task, run, pace)
--- a/pimentocross/owner/copier.py
+++ b/pimentocross/owner/copier.py
@@ -188,7 +188,7 @@
         return max(left - (now - heard_at), 0.0)
 
     def _fresh(self, step: Step) -> float:
-        return self._learned.durations.by_tasks(step)
+        return self._learned.durations.duration_from_ended_tasks(step)
 
     def _free_room(self, sound: Sequence[Worker], now: float) -> CopyRoom:
         waiting = self._book.open_steps(wall.now())
--- a/pimentocross/owner/dispatcher.py
+++ b/pimentocross/owner/dispatcher.py
@@ -31,7 +31,7 @@
 from pimentocross.owner.worker import Worker
 from pimentocross.placement.reclaim import TASKS_MOST
 from pimentocross.placement.triage import Order
-from pimentocross.placement.urgency import Chance, Urgency, urgency
+from pimentocross.placement.urgency import DeadlineClass, Urgency, urgency
 from pimentocross.work.queue import WorkConfig
 from pimentocross.work.state import Run, Step, Task
 
@@ -182,7 +182,9 @@
         spare = self._room.spare(sound, steps, now)
         ranked = self._ranked(steps, sound, now, today)
         worth_a_place = (
-            step for rank, _, step in ranked if rank.chance < Chance.HOPELESS
+            step
+            for rank, _, step in ranked
+            if rank.chance < DeadlineClass.HOPELESS
         )
         self._arranger.pass_over(worth_a_place, sound, orders, now)
         self._arranger.renew_probes(sound, now)
@@ -255,7 +257,7 @@
     def _rank(self, step: Step, now: float, today: float) -> Urgency:
         rank = urgency(step, self._learned.durations, today)
         if self._reclaimer.comes_after_short(step, now):
-            return rank._replace(chance=Chance.TIGHT, spare=math.inf)
+            return rank._replace(chance=DeadlineClass.TIGHT, spare=math.inf)
         return rank
 
     def _sound(self, workers: Sequence[Worker], now: float) -> list[Worker]:
@@ -304,4 +306,4 @@
 
 def _is_in_time(rank: Order) -> bool:
     """True if the job can still meet its objective."""
-    return rank.chance <= Chance.TIGHT
+    return rank.chance <= DeadlineClass.TIGHT
--- a/pimentocross/owner/learned.py
+++ b/pimentocross/owner/learned.py
@@ -11,14 +11,14 @@
 from pimentocross.observe.decisions import note
 from pimentocross.owner.backlog import CORE, Account, account_of
 from pimentocross.owner.worker import Worker
-from pimentocross.placement.disturbance import Disturbance, Pair
+from pimentocross.placement.disturbance import Disturbance, PairEstimate
 from pimentocross.placement.durations import Durations
 from pimentocross.placement.forecast import FinishRate
 from pimentocross.placement.pacing import Reading
 from pimentocross.placement.projections import Projections
-from pimentocross.placement.quarantine import Quarantine, QuarantineTerms
+from pimentocross.placement.quarantine import Quarantine, QuarantineSettings
 from pimentocross.placement.soundness import (
-    MEASURED_AFTER,
+    MIN_MEASURED_SECONDS,
     SLOW_BELOW,
     Progress,
     Speeds,
@@ -29,7 +29,7 @@
 
 # Two jobs that fail in a row speak against a worker: ordinary tasks fail one
 # time in twenty, two of different jobs in a row one time in 400.
-_QUARANTINE: Final = QuarantineTerms(after=2, first=3.0, most=12.0)
+_QUARANTINE: Final = QuarantineSettings(after=2, first=3.0, most=12.0)
 # What serves alone on a sound worker stays under this share of its target.
 _SOUND_ALONE: Final = 1.2
 # A worker that was seen in trouble gets nothing new for this long, seconds:
@@ -62,7 +62,7 @@
 
     def __init__(self, switches: Switches = ALL_ON) -> None:
         """Knows nothing yet; takes which parts are switched off."""
-        self.durations = Durations(knows_tails=switches.is_on(Part.TAILS))
+        self.durations = Durations(use_tails=switches.is_on(Part.TAILS))
         self.disturbance = Disturbance()
         self.quarantine = Quarantine(_QUARANTINE)
         self._speeds = Speeds()
@@ -75,7 +75,7 @@
 
     def restore(self, record: LearnedRecord) -> None:
         """Takes what a former owner had learned."""
-        pairs = [Pair(*row) for row in record.pairs]
+        pairs = [PairEstimate(*row) for row in record.pairs]
         self.disturbance.restore(pairs, trio.current_time())
         self.durations.restore(record.durations)
 
@@ -141,7 +141,7 @@
                 self.disturbance.learn(
                     reading.image,
                     loads,
-                    reading.typical,
+                    reading.median_ratio,
                     now,
                     worker.number,
                 )
@@ -168,21 +168,25 @@
             if step.spec.lasting or run.paced_at or not run.decided_at:
                 # Adopted: how long and how fast it worked isn't known.
                 continue
-            if durations.sees_tails:
+            if durations.has_any_tail:
                 self._project(worker, step, run, elapsed)
-            if step not in expected and durations.sees_tails:
+            if step not in expected and durations.has_any_tail:
                 expected[step] = self._expected(step, worker)
             elif step not in expected:
                 queue = step.job.queue.name
                 expected[step] = durations.task(queue, step.spec), True
             seconds, is_sure = expected[step]
-            excused = 0.0
+            long_task_probability = 0.0
             if not is_sure:
-                excused = durations.chance_over(
+                long_task_probability = durations.probability_over(
                     step.job.queue.name, seconds / SLOW_BELOW, elapsed
                 )
             progress = Progress(
-                step.job.id, seconds, run.percent, elapsed, excused
+                step.job.id,
+                seconds,
+                run.percent,
+                elapsed,
+                long_task_probability,
             )
             found.append((run, progress))
         return found
@@ -193,11 +197,11 @@
         Where a queue has a tail, others of the step tell first of a long one.
         """
         durations = self.durations
-        if durations.knows(step):
-            return _Expected(durations.of_step(step), is_sure=True)
+        if durations.has_measured_tasks(step):
+            return _Expected(durations.expected_duration(step), is_sure=True)
         elsewhere = self._projections.elsewhere(step, worker.number)
         if elsewhere is None:
-            return _Expected(durations.of_step(step), is_sure=False)
+            return _Expected(durations.expected_duration(step), is_sure=False)
         return _Expected(elsewhere, is_sure=True)
 
     def _project(
@@ -207,7 +211,7 @@
 
         It is asked for on other workers alone.
         """
-        if elapsed < MEASURED_AFTER or not run.percent:
+        if elapsed < MIN_MEASURED_SECONDS or not run.percent:
             return
         if self.durations.has_tail(step.job.queue.name):
             seconds = elapsed * 100 / run.percent
@@ -226,7 +230,9 @@
         sick = is_sick(readings, 0.0) and is_sick(
             readings, self._explained(worker, loads)
         )
-        runs = [found for _, found in self._progress(worker, MEASURED_AFTER)]
+        runs = [
+            found for _, found in self._progress(worker, MIN_MEASURED_SECONDS)
+        ]
         slow = self._speeds.is_slow(worker.number, runs, now)
         if not sick and not slow:
             return
@@ -237,6 +243,9 @@
     def _explained(self, worker: Worker, loads: Mapping[str, float]) -> float:
         """Returns what fillers add to the logarithm of the worst tail."""
         return max(
-            (self.disturbance.added(s, loads) for s in worker.serving),
+            (
+                self.disturbance.expected_increase(s, loads)
+                for s in worker.serving
+            ),
             default=0.0,
         )
--- a/pimentocross/owner/reclaimer.py
+++ b/pimentocross/owner/reclaimer.py
@@ -17,7 +17,7 @@
 from pimentocross.owner.worker import Worker
 from pimentocross.placement.moves import Seat, seat_of
 from pimentocross.placement.reclaim import choose_evictions, tasks_most
-from pimentocross.placement.soundness import may_take_away
+from pimentocross.placement.soundness import may_evict_task
 from pimentocross.work.state import Step, Task
 
 # Short work waits this long before anything gives way: most waits are for a
@@ -78,7 +78,7 @@
         If narrow steps gave more, some might never be whole.
         """
         most = max(1, step.spec.width // _WIDTH_A_TASK)
-        return step.waiting_count < most and may_take_away(step)
+        return step.waiting_count < most and may_evict_task(step)
 
     def _is_due(self, step: Step, now: float) -> bool:
         """True once a task of a lasting step has been away for long."""
--- a/pimentocross/placement/copies.py
+++ b/pimentocross/placement/copies.py
@@ -9,7 +9,7 @@
 
 from typing import Final, NamedTuple
 
-from pimentocross.placement.urgency import Chance
+from pimentocross.placement.urgency import DeadlineClass
 
 # Seconds from a decision to the first work of a run: its record and its order.
 START_COST: Final = 0.3
@@ -47,7 +47,7 @@
     fresh: float
     undone: int
     width: int
-    chance: Chance
+    chance: DeadlineClass
 
 
 def may_hold_up(undone: int, width: int) -> bool:
@@ -57,7 +57,7 @@
 
 def is_worth_copy(straggler: Straggler) -> bool:
     """True if a copy is likely to end well before a run does."""
-    if straggler.chance >= Chance.HOPELESS:
+    if straggler.chance >= DeadlineClass.HOPELESS:
         return False
     if not may_hold_up(straggler.undone, straggler.width):
         return False
--- a/pimentocross/placement/disturbance.py
+++ b/pimentocross/placement/disturbance.py
@@ -1,12 +1,17 @@
-"""How much what fills raises the response times of what serves, by image.
-
-For each image that serves, the logarithm of its tail over its target is taken
-as a base, a level of the worker that stays for some seconds (its tasks' load
-swings), and, for each image that fills beside it, a coefficient times the share
-of the worker's processors that this image uses. All are estimated with their
-spread, one reading at a time, as by a Kalman filter with independent parts, and
-forgotten slowly. Without the level, a swing would be put down to whatever has
-just come. A few pairs raise the tail tenfold, most do nothing.
+"""Estimates how much filler images raise the tail latency of serving images.
+
+A serving image is one whose tasks have a tail-latency target; a filler image
+is one whose tasks use only the processor time that is left over.
+
+For each serving image, the logarithm of tail latency over target is modelled as
+the sum of a base value, a deviation of the worker that lasts some seconds (the
+load on its tasks swings), and, for each filler image on the same worker, a
+coefficient times the share of the worker's processors that the filler uses. All
+terms are estimated with their variance, one reading at a time, by a Kalman
+filter that treats them as independent, and decay slowly to their priors.
+Without the deviation of the worker, a load swing would be attributed to
+whichever filler has just started. A few pairs raise the tail latency tenfold,
+most have no effect.
 """
 
 from collections.abc import Mapping, Sequence
@@ -15,15 +20,29 @@
 
 
 class Estimate(NamedTuple):
-    """A quantity, how unsure it is, and when it was last brought up to date."""
+    """A normally distributed estimate of one term of the model.
+
+    Attributes:
+        mean: Expected value, on the scale of the logarithm.
+        variance: Variance of the estimate.
+        updated_at: Time of the last update, seconds.
+    """
 
     mean: float
     variance: float
-    at: float
+    updated_at: float
+
 
+class PairEstimate(NamedTuple):
+    """The estimated effect of a filler image on a serving image.
 
-class Pair(NamedTuple):
-    """What is known of a pair of images; no filling image for a base."""
+    Attributes:
+        serving: Serving image.
+        filling: Filler image, or "" for the base value of the serving image.
+        mean: Rise of the logarithm of the tail latency per unit of the share
+            of the processors.
+        variance: Variance of the estimate.
+    """
 
     serving: str
     filling: str
@@ -31,106 +50,120 @@
     variance: float
 
 
-# Without neighbours, tails are about half of their target.
-_BASE: Final = Estimate(math.log(0.45), 0.3, 0.0)
-# An unknown pair is tried with care.
-_PAIR: Final = Estimate(1.0, 6.0, 0.0)
-# Under this a pair can't be told from a harmless one.
-_NOISE: Final = 0.8
-# ... and from here on a pair is taken to disturb.
-_SURELY: Final = 1.5
-# A pair whose spread is less than this has been read once or twice beside a
-# task of usual size: enough to tell one that disturbs strongly.
-_TRIED: Final = 0.75 * _PAIR.variance
-# From this spread on, one that seems to disturb may well be harmless: it is as
-# far from 0 as it is unsure.
-_DOUBTFUL: Final = 1.0
-# A reading is rough by a tenth, and what filled while it was taken isn't known
-# to the moment.
+# Without fillers, tail latencies are about half of their target.
+_BASE_PRIOR: Final = Estimate(math.log(0.45), 0.3, 0.0)
+# Assumes some effect, so that a pair without readings is tried cautiously.
+_PAIR_PRIOR: Final = Estimate(1.0, 6.0, 0.0)
+# Below this, the effect of a pair can't be told from noise.
+_NOISE_LIMIT: Final = 0.8
+# From this coefficient on, a filler counts as disturbing the serving image.
+_DISTURBING_FROM: Final = 1.5
+# One or two readings beside a filler of usual size bring the variance below
+# this: enough to detect a pair that disturbs strongly.
+_TRIED_VARIANCE: Final = 0.75 * _PAIR_PRIOR.variance
+# From this variance on, a pair that seems to disturb may well be harmless: its
+# coefficient is as close to 0 as its standard deviation is wide.
+_UNCERTAIN_VARIANCE: Final = 1.0
+# A reading is off by about a tenth, and which fillers ran while it was taken
+# is known only approximately.
 _READING_VARIANCE: Final = 0.02
-# A worker's level: how far it goes, and in how many seconds it is gone. The
-# load of what serves swings by half in ten and more seconds.
-_LEVEL_VARIANCE: Final = 0.1
-_LEVEL_KEPT: Final = 4.0
-# Levels that weren't seen for this long say nothing any more, seconds.
-_LEVEL_DROPPED: Final = 20.0
-# Spread that a second adds: a base is new within 5 s, a pair within a minute.
+# Variance and decay time in seconds of a worker's deviation: the load on
+# serving tasks swings by half over ten and more seconds.
+_DEVIATION_VARIANCE: Final = 0.1
+_DEVIATION_DECAY: Final = 4.0
+# Deviations that were not updated for this many seconds are dropped.
+_DEVIATION_MAX_AGE: Final = 20.0
+# Variance added per second: a base value adapts within 5 s, a pair within a
+# minute.
 _BASE_DRIFT: Final = 0.02
 _PAIR_DRIFT: Final = 0.02
-# What a single reading may say: a worker in trouble shows wild ones.
-_SURPRISE_MOST: Final = 1.2
-# A pair that isn't seen any more goes back to the first guess in about this
-# many seconds.
-_FORGETTING: Final = 100.0
-_ALONE: Final = ""
-# A worker that hangs shows tails of hundreds of times the target: beyond this
-# a reading says no more about pairs.
-_RATIO_MOST: Final = 5.0
-_RATIO_LEAST: Final = 0.05
+# Bounds the residual of one reading: a faulty worker reports outliers.
+_MAX_RESIDUAL: Final = 1.2
+# Time constant, in seconds, with which a pair without readings returns to its
+# prior.
+_PRIOR_DECAY: Final = 100.0
+_NO_FILLER: Final = ""
+# Readings are clamped to this range: a worker that hangs shows tail latencies
+# of hundreds of times the target, which say nothing more about pairs.
+_MAX_RATIO: Final = 5.0
+_MIN_RATIO: Final = 0.05
 
 
 class Disturbance:
-    """Estimates by pair of images."""
+    """Learns which filler images disturb which serving images."""
 
     def __init__(self) -> None:
-        """Starts with the same guess for every pair."""
+        """Starts with the same prior for every pair."""
         self._estimates: dict[tuple[str, str], Estimate] = {}
-        self._levels: dict[tuple[int, str], Estimate] = {}
-        self._levels_swept_at = 0.0
+        self._deviations: dict[tuple[int, str], Estimate] = {}
+        self._deviations_swept_at = 0.0
         self._now = 0.0
-        # Estimates as they are now: a pass asks for each many times, and ages
-        # it once.
-        self._present: dict[tuple[str, str], Estimate] = {}
+        # Estimates decayed to the present time: a scheduling pass reads each
+        # many times, and it is computed once.
+        self._current: dict[tuple[str, str], Estimate] = {}
 
-    def pairs(self) -> list[Pair]:
-        """Returns all that was learned, as far as it holds now."""
+    def pairs(self) -> list[PairEstimate]:
+        """Returns all estimates, decayed to the present time."""
         return [
-            Pair(serving, image, known.mean, known.variance)
+            PairEstimate(serving, image, known.mean, known.variance)
             for serving, image in self._estimates
-            for known in [self._known(serving, image)]
+            for known in [self._estimate(serving, image)]
         ]
 
-    def restore(self, pairs: Sequence[Pair], now: float) -> None:
-        """Takes what a former owner had learned."""
+    def restore(self, pairs: Sequence[PairEstimate], now: float) -> None:
+        """Restores the estimates of the previous owner.
+
+        Args:
+            pairs: Estimates as returned by `pairs`.
+            now: Present time.
+        """
         self.advance(now)
         for pair in pairs:
             estimate = Estimate(pair.mean, pair.variance, now)
-            self._note((pair.serving, pair.filling), estimate)
+            self._store((pair.serving, pair.filling), estimate)
 
     def advance(self, now: float) -> None:
-        """Notes the time, as what is known ages."""
+        """Sets the present time, to which estimates are decayed."""
         self._now = now
-        self._present.clear()
+        self._current.clear()
 
     def coefficient(self, serving: str, filling: str) -> float:
-        """Returns how much a share of 1 adds to the logarithm.
+        """Returns the rise of the logarithm per unit of the filler's share.
 
-        It is 0 for pairs whose effect can't be told from that of the load.
+        0 for pairs whose effect can't be told from load swings.
         """
-        known = self._known(serving, filling)
-        return known.mean if known.mean > _NOISE else 0.0
+        known = self._estimate(serving, filling)
+        return known.mean if known.mean > _NOISE_LIMIT else 0.0
 
-    def is_bad(self, serving: str, filling: str) -> bool:
-        """True if a pair surely disturbs, whatever the load."""
-        known = self._known(serving, filling)
-        return known.mean > _SURELY
+    def disturbs(self, serving: str, filling: str) -> bool:
+        """Returns whether a filler image disturbs a serving image.
 
-    def is_doubtful(self, serving: str, filling: str) -> bool:
-        """True if a pair seems to disturb, on little evidence."""
-        known = self._known(serving, filling)
-        return known.mean > _SURELY and known.variance > _DOUBTFUL
+        True only if the effect is too large to be caused by the load.
+        """
+        known = self._estimate(serving, filling)
+        return known.mean > _DISTURBING_FROM
+
+    def is_uncertain(self, serving: str, filling: str) -> bool:
+        """Returns whether a pair seems to disturb, on few readings."""
+        known = self._estimate(serving, filling)
+        return (
+            known.mean > _DISTURBING_FROM
+            and known.variance > _UNCERTAIN_VARIANCE
+        )
 
     def is_untried(self, serving: str, filling: str) -> bool:
-        """True if hardly anything was seen of a pair."""
-        known = self._known(serving, filling)
-        return known.variance > _TRIED
+        """Returns whether a pair has hardly any readings."""
+        known = self._estimate(serving, filling)
+        return known.variance > _TRIED_VARIANCE
 
-    def added(self, serving: str, loads: Mapping[str, float]) -> float:
-        """Returns by how much the logarithm of a tail is expected to rise.
+    def expected_increase(
+        self, serving: str, loads: Mapping[str, float]
+    ) -> float:
+        """Returns the rise of the log tail latency expected from fillers.
 
         Args:
-            serving: The image that serves.
-            loads: Shares of the worker's processors by image that fills.
+            serving: The serving image.
+            loads: Shares of the worker's processors by filler image.
         """
         return sum(
             share * self.coefficient(serving, image)
@@ -145,76 +178,83 @@
         now: float,
         worker: int = 0,
     ) -> None:
-        """Takes a reading in.
+        """Updates the estimates with a tail-latency reading.
 
         Args:
-            serving: The image that serves.
-            loads: As for `added`, while the reading was taken.
-            ratio: The tail over its target.
+            serving: The serving image.
+            loads: Shares of the worker's processors by filler image while the
+                reading was taken.
+            ratio: Tail latency over its target.
             now: Present time.
-            worker: Number of the worker that it was read on.
+            worker: Number of the worker that reported the reading.
         """
         weights = {image: share for image, share in loads.items() if share > 0}
-        weights[_ALONE] = 1.0
-        level = self._level(worker, serving, now)
+        weights[_NO_FILLER] = 1.0
+        deviation = self._level(worker, serving, now)
         known: dict[str, Estimate] = {}
-        effect = doubt = 0.0
+        expected_effect = variance = 0.0
         for image, weight in weights.items():
-            found = known[image] = self._aged(serving, image, now)
-            effect += weight * found.mean
-            doubt += weight * weight * found.variance
-        expected = level.mean + effect
-        spread = level.variance + _READING_VARIANCE + doubt
-        seen = min(max(ratio, _RATIO_LEAST), _RATIO_MOST)
-        surprise = math.log(seen) - expected
-        surprise = min(max(surprise, -_SURPRISE_MOST), _SURPRISE_MOST)
+            estimate = known[image] = self._decayed(serving, image, now)
+            expected_effect += weight * estimate.mean
+            variance += weight * weight * estimate.variance
+        expected = deviation.mean + expected_effect
+        residual_variance = deviation.variance + _READING_VARIANCE + variance
+        clamped = min(max(ratio, _MIN_RATIO), _MAX_RATIO)
+        residual = math.log(clamped) - expected
+        residual = min(max(residual, -_MAX_RESIDUAL), _MAX_RESIDUAL)
         for image, weight in weights.items():
-            updated = _updated(known[image], weight, surprise, spread, now)
-            self._note((serving, image), updated)
-        self._levels[(worker, serving)] = _updated(
-            level, 1.0, surprise, spread, now
+            updated = _updated(
+                known[image], weight, residual, residual_variance, now
+            )
+            self._store((serving, image), updated)
+        self._deviations[(worker, serving)] = _updated(
+            deviation, 1.0, residual, residual_variance, now
         )
-        self._sweep_levels(now)
+        self._sweep_deviations(now)
 
     def _level(self, worker: int, serving: str, now: float) -> Estimate:
-        known = self._levels.get((worker, serving))
+        """Returns the deviation of a worker, decayed to the present time."""
+        known = self._deviations.get((worker, serving))
         if known is None:
-            return Estimate(0.0, _LEVEL_VARIANCE, now)
-        kept = math.exp(-max(now - known.at, 0.0) / _LEVEL_KEPT)
-        variance = known.variance * kept**2 + _LEVEL_VARIANCE * (1 - kept**2)
+            return Estimate(0.0, _DEVIATION_VARIANCE, now)
+        kept = math.exp(-max(now - known.updated_at, 0.0) / _DEVIATION_DECAY)
+        variance = known.variance * kept**2 + _DEVIATION_VARIANCE * (
+            1 - kept**2
+        )
         return Estimate(known.mean * kept, variance, now)
 
-    def _sweep_levels(self, now: float) -> None:
-        """Drops levels of workers and images that are gone."""
-        if now - self._levels_swept_at < _LEVEL_DROPPED:
+    def _sweep_deviations(self, now: float) -> None:
+        """Drops deviations of workers and images that are gone."""
+        if now - self._deviations_swept_at < _DEVIATION_MAX_AGE:
             return
-        self._levels_swept_at = now
-        self._levels = {
+        self._deviations_swept_at = now
+        self._deviations = {
             key: known
-            for key, known in self._levels.items()
-            if now - known.at < _LEVEL_DROPPED
+            for key, known in self._deviations.items()
+            if now - known.updated_at < _DEVIATION_MAX_AGE
         }
 
-    def _note(self, pair: tuple[str, str], estimate: Estimate) -> None:
+    def _store(self, pair: tuple[str, str], estimate: Estimate) -> None:
         self._estimates[pair] = estimate
-        self._present.pop(pair, None)
-
-    def _known(self, serving: str, image: str) -> Estimate:
-        """Returns an estimate as it is now."""
-        found = self._present.get((serving, image))
-        if found is None:
-            found = self._aged(serving, image, self._now)
-            self._present[(serving, image)] = found
-        return found
-
-    def _aged(self, serving: str, image: str, now: float) -> Estimate:
-        prior = _PAIR if image else _BASE
+        self._current.pop(pair, None)
+
+    def _estimate(self, serving: str, image: str) -> Estimate:
+        """Returns an estimate decayed to the present time."""
+        estimate = self._current.get((serving, image))
+        if estimate is None:
+            estimate = self._decayed(serving, image, self._now)
+            self._current[(serving, image)] = estimate
+        return estimate
+
+    def _decayed(self, serving: str, image: str, now: float) -> Estimate:
+        """Returns an estimate decayed to a time, or the prior if unknown."""
+        prior = _PAIR_PRIOR if image else _BASE_PRIOR
         drift = _PAIR_DRIFT if image else _BASE_DRIFT
         known = self._estimates.get((serving, image))
         if known is None:
             return Estimate(prior.mean, prior.variance, now)
-        age = now - known.at if now > known.at else 0.0
-        kept = math.exp(-age / _FORGETTING)
+        age = now - known.updated_at if now > known.updated_at else 0.0
+        kept = math.exp(-age / _PRIOR_DECAY)
         mean = prior.mean + (known.mean - prior.mean) * kept
         variance = known.variance + drift * age
         if variance > prior.variance:
@@ -223,12 +263,24 @@
 
 
 def _updated(
-    known: Estimate, weight: float, surprise: float, spread: float, now: float
+    known: Estimate,
+    weight: float,
+    residual: float,
+    residual_variance: float,
+    now: float,
 ) -> Estimate:
-    """Returns an estimate after a reading that it is a part of."""
-    gain = known.variance * weight / spread
+    """Returns an estimate after a Kalman update.
+
+    Args:
+        known: The estimate before the reading.
+        weight: Factor of the estimated term in the reading.
+        residual: Reading less its expected value.
+        residual_variance: Variance of the reading.
+        now: Present time.
+    """
+    gain = known.variance * weight / residual_variance
     return Estimate(
-        known.mean + gain * surprise,
+        known.mean + gain * residual,
         known.variance * (1 - gain * weight),
         now,
     )
--- a/pimentocross/placement/durations.py
+++ b/pimentocross/placement/durations.py
@@ -1,11 +1,13 @@
-"""How long tasks take: rough words of callers, corrected by what was seen.
+"""Predicts task durations from callers' estimates and measured durations.
 
-A step lasts as long as its slowest task: the wider it is, the longer. Without
-that, jobs of wide steps look late while they can still be in time.
+A step lasts as long as its slowest task, so a wider step is expected to last
+longer. Without that, jobs of wide steps look late while they can still be in
+time.
 
 Load pattern: some queues have a few steps whose tasks take several times as
-long as the rest. Callers' estimates, tasks of the same step and what a run has
-done tell them apart before they end. All this is on once a tail was seen.
+long as those of the other steps. Callers' estimates, ended tasks of the same
+step and the progress of runs identify these steps before they end. All this is
+used for a queue only once such a tail of long steps was measured.
 """
 
 from collections.abc import Mapping
@@ -20,198 +22,217 @@
 from pimentocross.work.spec import StepSpec
 from pimentocross.work.state import Occurrence, Step
 
-# Until a queue's tasks were seen, and where callers give no estimate, seconds.
-UNKNOWN_DURATION: Final = 1.0
-# Share of a new measurement in the running mean of logarithms: about the last
-# twenty tasks count.
-_LEARNING: Final = 0.05
-# The same where a tail was seen, and how far off a measurement counts: twenty
-# long tasks that end together would else make the next ones look as long.
-_LEARNING_BESIDE_TAIL: Final = 0.01
-_OFF_MOST: Final = 1.0
-# Spread of the logarithm of durations within a queue, until it was seen, and
-# the most that is believed: failures and slow workers stretch the tail.
-_SPREAD: Final = 0.45
-_SPREAD_MOST: Final = 0.7
-# Progress is listed in whole percent: from a few on it tells more of what is
-# left than durations of other tasks.
-_PERCENT_HALF: Final = 3
-# Steps and tasks before a tail is believed, and how many are remembered: some
-# in a hundred of them make one.
-_STEPS_LEAST: Final = 50
+# Used where a queue has no measured tasks and the caller gives no estimate.
+DEFAULT_TASK_SECONDS: Final = 1.0
+# Weight of a new measurement in the moving average of log durations: about the
+# last twenty tasks count.
+_WEIGHT: Final = 0.05
+# Weight and greatest deviation of a measurement in a queue with a tail: twenty
+# long tasks that end together would otherwise make the next ones look as long.
+_WEIGHT_WITH_TAIL: Final = 0.01
+_MAX_DEVIATION: Final = 1.0
+# Prior and upper bound of the standard deviation of log durations within a
+# queue: failures and slow workers stretch the tail.
+_PRIOR_SPREAD: Final = 0.45
+_MAX_SPREAD: Final = 0.7
+# Workers report progress in whole percent: from this percentage on it predicts
+# the time left better than the durations of other tasks.
+_EQUAL_WEIGHT_PERCENT: Final = 3
+# Steps and tasks needed before a tail is detected, and how many are remembered:
+# a tail consists of a few in a hundred.
+_MIN_STEPS: Final = 50
 _STEPS_REMEMBERED: Final = 200
-_TASKS_LEAST: Final = 100
+_MIN_TASKS: Final = 100
 _TASKS_REMEMBERED: Final = 500
-# Tasks that have ended from which on a step is judged by them.
-_TASKS_JUDGED: Final = 3
-# Tasks of a step that tell as much of the next one as all that was known
-# before: they differ by far less than steps do.
-_TASKS_HALF: Final = 0.5
-# What has taken longer than expected takes on for this share of that at least.
-_LEFT_LEAST: Final = 0.25
+# Ended tasks of a step before the step is compared with its queue, and its
+# other tasks with the ended ones.
+_MIN_ENDED_TASKS: Final = 3
+# Ended tasks of a step that weigh as much as the prediction made without them:
+# tasks of one step differ by far less than steps do.
+_EQUAL_WEIGHT_TASKS: Final = 0.5
+# Least time left of a run, as a share of the expected duration of its task.
+_MIN_SHARE_LEFT: Final = 0.25
 
 
-class _Ended(NamedTuple):
-    """Tasks of one step that have ended."""
+class _EndedTasks(NamedTuple):
+    """The ended tasks of one step: their number and mean log duration."""
 
     tasks: int
     mean: float
 
 
 class Durations:
-    """Mean durations by queue, and what is left of a job's chain.
+    """Predicts durations of tasks, runs and the critical paths of jobs.
 
     Attributes:
-        sees_tails: Whether a tail was ever seen, of any queue.
+        has_any_tail: Whether some queue has shown a tail of long steps.
     """
 
-    def __init__(self, *, knows_tails: bool = True) -> None:
-        """Knows nothing yet.
+    def __init__(self, *, use_tails: bool = True) -> None:
+        """Initializes the predictions without any measurement.
 
         Args:
-            knows_tails: Whether what is seen of tails counts.
+            use_tails: Whether tails of long steps are taken into account.
         """
-        self.sees_tails = False
-        self._knows_tails = knows_tails
+        self.has_any_tail = False
+        self._use_tails = use_tails
         self._means: dict[str, float] = {}
         self._variances: dict[str, float] = {}
-        # The same within steps.
-        self._inner_variances: dict[str, float] = {}
-        # Steps over the usual of their queue; tasks over the others of a step.
+        # Variances of log durations within steps, by queue.
+        self._variances_within_steps: dict[str, float] = {}
+        # Durations of steps over the mean of their queue, and of tasks over the
+        # mean of their step.
         self._long_steps: dict[str, Tail] = {}
         self._long_tasks: dict[str, Tail] = {}
         self._estimates: dict[str, Estimates] = {}
-        self._steps: WeakKeyDictionary[Step, _Ended] = WeakKeyDictionary()
+        self._steps: WeakKeyDictionary[Step, _EndedTasks] = WeakKeyDictionary()
 
     def means(self) -> dict[str, float]:
-        """Returns the mean logarithm of durations by queue."""
+        """Returns the mean log duration by queue."""
         return dict(self._means)
 
     def restore(self, means: Mapping[str, float]) -> None:
-        """Takes what a former owner had seen."""
+        """Restores the mean log durations of the previous owner."""
         self._means.update(means)
 
     def note(self, queue: str, seconds: float) -> None:
-        """Takes in how long one task of a queue took."""
+        """Records the duration of one task of a queue."""
         logarithm = math.log(max(seconds, 0.01))
         before = self._means.get(queue, logarithm)
-        off, learning = logarithm - before, _LEARNING
+        deviation, weight = logarithm - before, _WEIGHT
         if self.has_tail(queue):
-            off = min(max(off, -_OFF_MOST), _OFF_MOST)
-            learning = _LEARNING_BESIDE_TAIL
-        self._means[queue] = before + learning * off
-        variance = self._variances.get(queue, _SPREAD**2)
-        self._variances[queue] = variance + learning * (off**2 - variance)
+            deviation = min(max(deviation, -_MAX_DEVIATION), _MAX_DEVIATION)
+            weight = _WEIGHT_WITH_TAIL
+        self._means[queue] = before + weight * deviation
+        variance = self._variances.get(queue, _PRIOR_SPREAD**2)
+        self._variances[queue] = variance + weight * (deviation**2 - variance)
 
     def note_task(self, step: Step, seconds: float, worked: float) -> None:
-        """Takes in how long a task took that ended on a sound worker.
+        """Records the duration of a task that ended on a healthy worker.
 
         Args:
-            step: Its step.
-            seconds: Since it was decided on.
-            worked: Since it was started.
+            step: The step of the task.
+            seconds: Seconds since the scheduling decision.
+            worked: Seconds since the start of the task.
         """
         queue = step.job.queue.name
         logarithm = math.log(max(worked, 0.01))
         usual = self._means.get(queue, logarithm)
         if step.spec.estimate > 0:
-            told = math.log(step.spec.estimate) - usual
+            predicted = math.log(step.spec.estimate) - usual
             known = self._estimates.setdefault(queue, Estimates())
-            known.note(told, logarithm - usual, 1 / step.spec.width)
+            known.note(predicted, logarithm - usual, 1 / step.spec.width)
         self.note_long_task(step, worked)
-        tasks, mean = self._steps.get(step, _Ended(0, 0.0))
-        if tasks >= _TASKS_JUDGED:
-            self._note_spread(queue, logarithm - mean)
+        tasks, mean = self._steps.get(step, _EndedTasks(0, 0.0))
+        if tasks >= _MIN_ENDED_TASKS:
+            self._note_variance_within_step(queue, logarithm - mean)
         mean += (logarithm - mean) / (tasks + 1)
-        self._steps[step] = _Ended(tasks + 1, mean)
-        if tasks + 1 == min(_TASKS_JUDGED, step.spec.width):
+        self._steps[step] = _EndedTasks(tasks + 1, mean)
+        if tasks + 1 == min(_MIN_ENDED_TASKS, step.spec.width):
             self._note_step(queue, math.exp(mean - usual))
         self.note(queue, seconds)
 
     def note_long_task(self, step: Step, worked: float) -> None:
-        """Takes in how long a task worked, for how it compares to its step.
+        """Records how long a task took compared with others of its step.
 
-        Also a run that was cut short as its copy won, as far as its progress
-        told: such tasks would else be forgotten where copies help.
+        Also called with the projected duration of a run that was stopped
+        because its copy ended first: stragglers would otherwise not be counted
+        where copies replace them.
+
+        Args:
+            step: The step of the task.
+            worked: Seconds since the start of the task.
         """
         ended = self._steps.get(step)
-        if ended is None or ended.tasks < _TASKS_JUDGED:
+        if ended is None or ended.tasks < _MIN_ENDED_TASKS:
             return
         queue = step.job.queue.name
         known = self._long_tasks.get(queue)
         if known is None:
-            known = Tail(_TASKS_LEAST, _TASKS_REMEMBERED)
+            known = Tail(_MIN_TASKS, _TASKS_REMEMBERED)
             self._long_tasks[queue] = known
         known.note(worked / math.exp(ended.mean))
 
-    def _note_spread(self, queue: str, off: float) -> None:
-        variance = self._inner_variances.get(queue, _SPREAD**2)
-        off = min(abs(off), _OFF_MOST)
-        variance += _LEARNING_BESIDE_TAIL * (off**2 - variance)
-        self._inner_variances[queue] = variance
+    def _note_variance_within_step(self, queue: str, deviation: float) -> None:
+        variance = self._variances_within_steps.get(queue, _PRIOR_SPREAD**2)
+        deviation = min(abs(deviation), _MAX_DEVIATION)
+        variance += _WEIGHT_WITH_TAIL * (deviation**2 - variance)
+        self._variances_within_steps[queue] = variance
 
     def _note_step(self, queue: str, ratio: float) -> None:
         known = self._long_steps.get(queue)
         if known is None:
-            known = Tail(_STEPS_LEAST, _STEPS_REMEMBERED)
+            known = Tail(_MIN_STEPS, _STEPS_REMEMBERED)
             self._long_steps[queue] = known
         known.note(ratio)
-        if known.is_seen and self._knows_tails:
-            self.sees_tails = True
+        if known.is_seen and self._use_tails:
+            self.has_any_tail = True
 
     def task(self, queue: str, spec: StepSpec) -> float:
-        """Returns how long a task of a step is expected to take."""
+        """Returns the expected duration of a task in seconds.
+
+        Ignores ended tasks of the same step.
+
+        Args:
+            queue: Name of the queue.
+            spec: The step of the task.
+        """
         known = self._means.get(queue)
         if spec.estimate <= 0:
-            return UNKNOWN_DURATION if known is None else math.exp(known)
+            return DEFAULT_TASK_SECONDS if known is None else math.exp(known)
         if known is None:
             return spec.estimate
         guess = math.log(spec.estimate)
         if self.has_tail(queue) and queue in self._estimates:
-            told = self._estimates[queue].expect(guess - known)
-            return math.exp(known + told)
+            predicted = self._estimates[queue].expect(guess - known)
+            return math.exp(known + predicted)
         return math.exp(known + ESTIMATE_WEIGHT * (guess - known))
 
     def has_tail(self, queue: str) -> bool:
-        """True if some steps of a queue were seen to take several times long.
+        """Returns whether some steps take several times the usual duration.
 
-        A new owner has to see that anew.
+        Not passed on between owners: a new owner measures it anew.
         """
         known = self._long_steps.get(queue)
-        return self._knows_tails and known is not None and known.is_seen
+        return self._use_tails and known is not None and known.is_seen
 
     def has_stragglers(self, queue: str) -> bool:
-        """True if single tasks were seen to take far longer than their step."""
+        """Returns whether single tasks take far longer than their step."""
         known = self._long_tasks.get(queue)
         return known is not None and known.is_seen
 
-    def knows(self, step: Step) -> bool:
-        """True if tasks of a step tell how long the others take."""
+    def has_measured_tasks(self, step: Step) -> bool:
+        """Returns whether ended tasks of a step predict the others of it."""
         return step in self._steps and self.has_tail(step.job.queue.name)
 
-    def of_step(self, step: Step) -> float:
-        """Returns how long a task of a step is expected to take."""
-        if self.knows(step):
-            return self.by_tasks(step)
+    def expected_duration(self, step: Step) -> float:
+        """Returns the expected duration of a task of a step, in seconds."""
+        if self.has_measured_tasks(step):
+            return self.duration_from_ended_tasks(step)
         return self.task(step.job.queue.name, step.spec)
 
-    def by_tasks(self, step: Step) -> float:
-        """Returns the same by those of its tasks that have ended, if any."""
+    def duration_from_ended_tasks(self, step: Step) -> float:
+        """Returns the expected duration of a task, given the ended ones.
+
+        Without ended tasks of the step, this is the result of `task`.
+        """
         prior = self.task(step.job.queue.name, step.spec)
-        tasks, mean = self._steps.get(step, _Ended(0, 0.0))
-        trust = tasks / (tasks + _TASKS_HALF)
+        tasks, mean = self._steps.get(step, _EndedTasks(0, 0.0))
+        trust = tasks / (tasks + _EQUAL_WEIGHT_TASKS)
         return math.exp(trust * mean + (1 - trust) * math.log(prior))
 
-    def chance_over(self, queue: str, seconds: float, elapsed: float) -> float:
-        """Returns how likely a task takes longer than some seconds.
+    def probability_over(
+        self, queue: str, seconds: float, elapsed: float
+    ) -> float:
+        """Returns the probability that a task takes longer than some time.
 
         Args:
-            queue: The queue.
-            seconds: How long.
-            elapsed: Seconds that it has come to without an end.
+            queue: Name of the queue.
+            seconds: The time in seconds.
+            elapsed: Seconds that the task has already run.
 
         Returns:
-            0 while no tail was seen.
+            The probability, 0 while the queue has no tail.
         """
         if not self.has_tail(queue):
             return 0.0
@@ -220,55 +241,58 @@
         return known.share_over(seconds / usual, elapsed / usual)
 
     def remaining(self, step: Step, elapsed: float, percent: int) -> float:
-        """Returns how many seconds a run is expected to take on.
+        """Returns the expected time until a run ends, in seconds.
 
         Args:
-            step: Its step.
-            elapsed: Seconds that it has worked.
-            percent: Progress that it has come to in these.
+            step: The step of the run.
+            elapsed: Seconds since the run started.
+            percent: Progress of the run after these seconds.
         """
-        usual = self.of_step(step)
-        left = max(usual - elapsed, _LEFT_LEAST * usual)
+        usual = self.expected_duration(step)
+        left = max(usual - elapsed, _MIN_SHARE_LEFT * usual)
         if percent <= 0:
             return left
-        told = elapsed * (100 - percent) / percent
-        trust = percent / (percent + _PERCENT_HALF)
-        return trust * told + (1 - trust) * left
+        predicted = elapsed * (100 - percent) / percent
+        trust = percent / (percent + _EQUAL_WEIGHT_PERCENT)
+        return trust * predicted + (1 - trust) * left
 
-    def chain(self, occurrence: Occurrence) -> float:
-        """Returns the longest chain of steps."""
+    def critical_path(self, occurrence: Occurrence) -> float:
+        """Returns the duration of the critical path of an occurrence."""
         return self._longest(occurrence, whole=True)
 
-    def chain_left(self, occurrence: Occurrence) -> float:
-        """Returns the longest chain of what is left to do."""
+    def remaining_critical_path(self, occurrence: Occurrence) -> float:
+        """Returns the duration of the critical path of the steps not done."""
         return self._longest(occurrence, whole=False)
 
     def _longest(self, occurrence: Occurrence, *, whole: bool) -> float:
         ends: list[float] = []
         for step in occurrence.steps:
-            begins = max((ends[i] for i in step.spec.after), default=0.0)
-            ends.append(begins + self._step(step, whole=whole))
+            start = max((ends[i] for i in step.spec.after), default=0.0)
+            ends.append(start + self._step_duration(step, whole=whole))
         return max(ends, default=0.0)
 
-    def _step(self, step: Step, *, whole: bool) -> float:
+    def _step_duration(self, step: Step, *, whole: bool) -> float:
         if step.undone == 0 and not whole:
             return 0.0
         queue = step.job.queue.name
         wide = self._slowest(queue, step.spec.width)
-        return self.of_step(step) * wide
+        return self.expected_duration(step) * wide
 
     def _slowest(self, queue: str, width: int) -> float:
-        """Returns the slowest of some tasks over the typical one."""
-        # Where steps differ by more than their tasks do, only these count.
-        inner = self.has_tail(queue)
-        variances = self._inner_variances if inner else self._variances
-        spread = math.sqrt(variances.get(queue, _SPREAD**2))
-        return math.exp(min(spread, _SPREAD_MOST) * _deviations_of_most(width))
+        """Returns the slowest task of a step over the median one."""
+        # In a queue with a tail, steps differ by more than the tasks of one step
+        # do: only the variance within steps applies.
+        within_steps = self.has_tail(queue)
+        variances = (
+            self._variances_within_steps if within_steps else self._variances
+        )
+        spread = math.sqrt(variances.get(queue, _PRIOR_SPREAD**2))
+        return math.exp(min(spread, _MAX_SPREAD) * _deviations_of_most(width))
 
 
 @functools.lru_cache(maxsize=1024)
 def _deviations_of_most(count: int) -> float:
-    """Returns how far the greatest of some normal values is expected.
+    """Returns the expected maximum of standard normal values.
 
     Blom's approximation of normal order statistics (1958).
     """
--- a/pimentocross/placement/forecast.py
+++ b/pimentocross/placement/forecast.py
@@ -19,11 +19,11 @@
 
 # A job is refused if it is foreseen to be done only after so many times the
 # time up to which it earns its caller anything.
-CLEAR: Final = 2.0
+REFUSAL_FACTOR: Final = 2.0
 # Bounds of the time after which a refused caller may come back, seconds: who
 # is told less would ask in vain, and nothing is foreseen for longer.
-RETRY_LEAST: Final = 1.0
-RETRY_MOST: Final = 30.0
+MIN_RETRY_SECONDS: Final = 1.0
+MAX_RETRY_SECONDS: Final = 30.0
 # Callers come back over so much more than the backlog is foreseen to take.
 _RETRY_SPREAD: Final = 1.0
 # A rate is taken over the last seconds, and believed after so many ends.
@@ -67,14 +67,14 @@
         return LATE_FACTOR * self.objective
 
 
-def is_in_vain(load: Load) -> bool:
+def is_too_late(load: Load) -> bool:
     """Returns whether a job would surely be done too late to be of use.
 
     One that would be too late with nothing ahead isn't the backlog's matter.
     """
     if load.room <= 0 or load.objective <= 0 or load.own > load.use:
         return False
-    return load.wait + load.own > CLEAR * load.use
+    return load.wait + load.own > REFUSAL_FACTOR * load.use
 
 
 def retry_after(load: Load, name: str) -> float:
@@ -86,7 +86,7 @@
     drained = load.wait - max(load.objective - load.own, 0.0)
     draw = zlib.crc32(name.encode()) / 2**32
     seconds = drained * (1 + _RETRY_SPREAD * draw)
-    return min(max(seconds, RETRY_LEAST), RETRY_MOST)
+    return min(max(seconds, MIN_RETRY_SECONDS), MAX_RETRY_SECONDS)
 
 
 class FinishRate:
@@ -114,7 +114,7 @@
         return self._sum * math.exp(-max(now - self._at, 0.0) / _RATE_OVER)
 
 
-class RecentRoom:
+class RecentCapacity:
     """The most room there was in the last seconds."""
 
     def __init__(self) -> None:
--- a/pimentocross/placement/hosts.py
+++ b/pimentocross/placement/hosts.py
@@ -93,7 +93,7 @@
     cost = (host.free.cpu - spec.size.cpu) / max(host.life.capacity.cpu, 1)
     if spec.target_tail:
         cost += _strangeness(spec.image, host)
-        cost += view.disturbance.added(spec.image, _loads(host))
+        cost += view.disturbance.expected_increase(spec.image, _loads(host))
         cost += _closing(spec, host, view.outlook)
     return cost
 
@@ -138,7 +138,7 @@
         return math.inf
     loads = _loads(host)
     loads[spec.image] = loads.get(spec.image, 0.0) + spec.size.cpu / capacity
-    harm = max(disturbance.added(image, loads) for image in serving)
+    harm = max(disturbance.expected_increase(image, loads) for image in serving)
     return fit + 1.0 + harm if harm <= HARM_MOST else math.inf
 
 
@@ -193,12 +193,14 @@
         view: What is known of pairs.
     """
     known, filling = view.disturbance, spec.image
-    retries = view.probes.retries(filling, view.outlook.scarcity(filling))
-    bad = frozenset(image for image in images if known.is_bad(image, filling))
+    is_retry_due = view.probes.is_retry_due(
+        filling, view.outlook.scarcity(filling)
+    )
+    bad = frozenset(image for image in images if known.disturbs(image, filling))
     surely = frozenset(
         image
         for image in bad
-        if not (retries and known.is_doubtful(image, filling))
+        if not (is_retry_due and known.is_uncertain(image, filling))
     )
     untried = frozenset(
         image for image in images if known.is_untried(image, filling)
--- a/pimentocross/placement/interference.py
+++ b/pimentocross/placement/interference.py
@@ -1,8 +1,9 @@
-"""How much tasks of one class slow those of another, learned from usage.
+"""Learns how much tasks of one class slow down tasks of another.
 
-For each pair of classes and load band one number is kept with its spread: the
-slowdown that one neighbour adds. A report of a task is attributed to all its
-neighbours at the time it was measured, more to those that are less known.
+For each pair of classes and load band, the slowdown that one neighbour adds is
+estimated with its variance. A neighbour is another task on the same worker. A
+slowdown reported for a task is attributed to all its neighbours at the time of
+the measurement, and more to those whose estimates have a greater variance.
 """
 
 from collections import deque
@@ -14,24 +15,31 @@
 
 
 class Estimate(NamedTuple):
-    """What one neighbour adds to a task's slowdown.
+    """The slowdown that one neighbour adds to a task.
 
     Attributes:
-        mean: 0.5 means half as long again.
-        variance: How unsure that is.
-        at: When it was last brought up to date.
+        mean: Expected slowdown; 0.5 means that the task takes 1.5 times as
+            long.
+        variance: Variance of the estimate.
+        updated_at: Time of the last update, seconds.
     """
 
     mean: float
     variance: float
-    at: float
+    updated_at: float
 
 
-_UNKNOWN = Estimate(const.PRIOR_SLOWDOWN, const.PRIOR_VARIANCE, 0.0)
+_PRIOR = Estimate(const.PRIOR_SLOWDOWN, const.PRIOR_VARIANCE, 0.0)
 
 
 class Neighbours(NamedTuple):
-    """What ran on a worker from a time on: classes with counts, and load."""
+    """The tasks that ran on a worker from some time on.
+
+    Attributes:
+        since: Start of the period, seconds.
+        classes: Number of tasks by class.
+        band: Load band of the worker.
+    """
 
     since: float
     classes: dict[str, int]
@@ -39,36 +47,38 @@
 
 
 def load_band(used: float, capacity: float) -> int:
-    """Returns the band of a VM's load, 0 for the lowest."""
+    """Returns the load band of a VM, 0 for the lowest load."""
     share = used / capacity if capacity > 0 else 0.0
     return sum(share > edge for edge in const.BAND_EDGES)
 
 
 class Interference:
-    """Estimates by victim, neighbour and load band."""
+    """Estimates slowdowns by victim class, neighbour class and load band."""
 
     def __init__(self) -> None:
-        """Starts with the same small guess for every pair."""
+        """Starts with the same small slowdown as prior for every pair."""
         self._estimates: dict[tuple[str, str, int], Estimate] = {}
 
     def estimate(self, victim: str, neighbour: str, band: int) -> Estimate:
-        """Returns what one neighbour adds."""
-        return self._estimates.get((victim, neighbour, band), _UNKNOWN)
+        """Returns the slowdown that one neighbour adds to a victim."""
+        return self._estimates.get((victim, neighbour, band), _PRIOR)
 
-    def added(self, victim: str, neighbour: str, band: int) -> float:
-        """Returns what to expect of one neighbour when placing.
+    def optimistic_slowdown(
+        self, victim: str, neighbour: str, band: int
+    ) -> float:
+        """Returns the slowdown that placement assumes for one neighbour.
 
-        A pair that is hardly known looks a little better than its mean, so
-        that it is tried once in a while, and cheaply.
+        Less than the mean by a share of the standard deviation, so that pairs
+        with few reports are tried now and then, at a small cost.
         """
         known = self.estimate(victim, neighbour, band)
-        hope = const.EXPLORATION * math.sqrt(known.variance)
-        return max(known.mean - hope, 0.0)
+        bonus = const.EXPLORATION * math.sqrt(known.variance)
+        return max(known.mean - bonus, 0.0)
 
     def slowdown(
         self, victim: str, neighbours: Mapping[str, int], band: int
     ) -> float:
-        """Returns the expected slowdown of a task, 0 for none."""
+        """Returns the expected slowdown of a task, 0 without neighbours."""
         return sum(
             count * self.estimate(victim, name, band).mean
             for name, count in neighbours.items()
@@ -82,67 +92,77 @@
         slowdown: float,
         now: float,
     ) -> None:
-        """Takes one report in.
+        """Updates the estimates with the measured slowdown of a task.
 
         Args:
-            victim: Class of the task that was measured.
-            neighbours: Other tasks on its worker then, counted by class.
-            band: The worker's load band then.
-            slowdown: Time taken over the time alone, less 1.
+            victim: Class of the measured task.
+            neighbours: Number of other tasks on its worker by class, at the
+                time of the measurement.
+            band: Load band of the worker at that time.
+            slowdown: Time taken over the time without neighbours, less 1.
             now: Present time.
         """
         pairs = {name: n for name, n in neighbours.items() if n > 0}
         if not pairs:
             return
-        known = {name: self._aged(victim, name, band, now) for name in pairs}
+        known = {
+            name: self._with_drift(victim, name, band, now) for name in pairs
+        }
         expected = sum(n * known[name].mean for name, n in pairs.items())
         spread = sum(n * n * known[name].variance for name, n in pairs.items())
-        surprise = slowdown - expected
+        residual = slowdown - expected
         for name, count in pairs.items():
             before = known[name]
             noise = const.MEASUREMENT_VARIANCE
             gain = before.variance * count / (spread + noise)
             self._estimates[(victim, name, band)] = Estimate(
-                max(before.mean + gain * surprise, 0.0),
+                max(before.mean + gain * residual, 0.0),
                 before.variance * (1 - gain * count),
                 now,
             )
 
-    def _aged(
+    def _with_drift(
         self, victim: str, neighbour: str, band: int, now: float
     ) -> Estimate:
         known = self._estimates.get((victim, neighbour, band))
         if known is None:
-            return _UNKNOWN._replace(at=now)
-        grown = known.variance + const.DRIFT_VARIANCE * (now - known.at)
-        return known._replace(variance=min(grown, const.VARIANCE_MOST), at=now)
+            return _PRIOR._replace(updated_at=now)
+        grown = known.variance + const.DRIFT_VARIANCE * (now - known.updated_at)
+        return known._replace(
+            variance=min(grown, const.VARIANCE_MOST), updated_at=now
+        )
 
 
 class NeighbourHistory:
-    """What ran on one worker, for reports that come late."""
+    """History of the tasks on one worker, for reports that arrive late."""
 
     def __init__(self) -> None:
-        """Starts empty."""
-        self._past: deque[Neighbours] = deque()
+        """Initializes an empty history."""
+        self._periods: deque[Neighbours] = deque()
 
     def note(self, now: float, classes: Mapping[str, int], band: int) -> None:
-        """Notes what runs from now on."""
-        self._past.append(Neighbours(now, dict(classes), band))
-        while len(self._past) > 1 and (
-            self._past[1].since < now - const.HISTORY
+        """Records the tasks that run from now on, by class."""
+        self._periods.append(Neighbours(now, dict(classes), band))
+        while len(self._periods) > 1 and (
+            self._periods[1].since < now - const.HISTORY
         ):
-            self._past.popleft()
+            self._periods.popleft()
 
     def at(self, when: float) -> Neighbours | None:
-        """Returns what ran at a time, or None if that is forgotten."""
-        for neighbours in reversed(self._past):
+        """Returns what ran at a time, or None if the history is too short."""
+        for neighbours in reversed(self._periods):
             if neighbours.since <= when:
                 return neighbours
         return None
 
 
 def others(classes: Mapping[str, int], victim: str) -> dict[str, int]:
-    """Returns the neighbours of one task of a class."""
+    """Returns the number of neighbours of one task, by class.
+
+    Args:
+        classes: Number of all tasks on the worker by class.
+        victim: Class of the task.
+    """
     found = dict(classes)
     found[victim] = found.get(victim, 0) - 1
     return {name: count for name, count in found.items() if count > 0}
--- a/pimentocross/placement/layout.py
+++ b/pimentocross/placement/layout.py
@@ -50,7 +50,7 @@
             found = frozenset(
                 image
                 for image in self._filling
-                if self._disturbance.is_bad(serving, image)
+                if self._disturbance.disturbs(serving, image)
             )
             self._shut_out[serving] = found
         return found
@@ -66,7 +66,7 @@
 ) -> bool:
     """True if none of the images that serve surely suffers by one."""
     for image in serving:  # noqa: SIM110 - a third quicker than any().
-        if disturbance.is_bad(image, filling):
+        if disturbance.disturbs(image, filling):
             return False
     return True
 
--- a/pimentocross/placement/pacing.py
+++ b/pimentocross/placement/pacing.py
@@ -28,14 +28,14 @@
 # A target missed for this many seconds stops all that fills from working: half
 # of the shortest time after which users count as harmed (4 s), as an order
 # takes 0.1 s to work, the figure half a second to show it, and one may be lost.
-OVER_MOST: Final = 2.0
+STOP_AFTER_SECONDS: Final = 2.0
 # A filler that may work at no more than this is better off elsewhere.
-MOVE_BELOW: Final = 30
+MOVE_MAX_PACE: Final = 30
 # A change of fewer percent is not worth an order.
 LEAST_CHANGE: Final = 5
 FULL_PACE: Final = 100
 # A figure covers half a second: changes wait until it shows the last one.
-SETTLE: Final = 0.9
+SETTLING_SECONDS: Final = 0.9
 
 
 class Reading(NamedTuple):
@@ -50,7 +50,7 @@
 
     image: str
     ratio: float
-    typical: float
+    median_ratio: float
     over_for: float = 0.0
 
 
@@ -77,7 +77,7 @@
     if not readings:
         return [FULL_PACE for _ in fillers]
     worst = max(readings, key=lambda reading: reading.ratio)
-    if any(reading.over_for >= OVER_MOST for reading in readings):
+    if any(reading.over_for >= STOP_AFTER_SECONDS for reading in readings):
         return [0 for _ in fillers]
     if worst.ratio >= SLOW_FROM:
         return _slow(worst, fillers, disturbance)
--- a/pimentocross/placement/probes.py
+++ b/pimentocross/placement/probes.py
@@ -72,7 +72,7 @@
             return False
         return self._workers[(serving, filling)] >= WORKERS_MOST
 
-    def retries(self, filling: str, scarcity: float) -> bool:
+    def is_retry_due(self, filling: str, scarcity: float) -> bool:
         """True if a doubtful pair of an image may be tried again now.
 
         Args:
@@ -89,21 +89,21 @@
             host: The worker.
             scarcity: How scarce room is for the image, 0 to 1.
         """
-        if not self.retries(filling, scarcity):
+        if not self.is_retry_due(filling, scarcity):
             return False
         if host.filling:
             # What is read has to speak of this pair alone.
             return False
         return all(
-            self._disturbance.is_doubtful(serving, filling)
+            self._disturbance.is_uncertain(serving, filling)
             for serving in host.serving
-            if self._disturbance.is_bad(serving, filling)
+            if self._disturbance.disturbs(serving, filling)
         )
 
     def note(self, filling: str, host: Host) -> bool:
         """Notes a task that is about to fill; True if it is a new trial."""
         self._count(filling, host)
-        if any(self._disturbance.is_bad(i, filling) for i in host.serving):
+        if any(self._disturbance.disturbs(i, filling) for i in host.serving):
             self._retried.add(filling)
             return True
         return False
--- a/pimentocross/placement/quarantine.py
+++ b/pimentocross/placement/quarantine.py
@@ -1,9 +1,9 @@
-"""Workers that fail everything: left alone, and tried again now and then.
+"""Quarantines workers on which every task fails, and retries them later.
 
-Load pattern: a part of the workers fails all that it starts, at once, so that
-they look free and draw more work. Wide jobs fail on several of them while their
-other tasks end well elsewhere; a job that can't be done fails wherever it goes.
-The two are told apart by what else became of the job.
+Load pattern: some workers fail every task immediately, so that they look idle
+and attract more work. Wide jobs fail on several of these workers while their
+other tasks succeed elsewhere; a faulty job fails on every worker. The results
+of the other tasks of the job tell whether the worker or the job is at fault.
 """
 
 from collections import OrderedDict
@@ -12,18 +12,18 @@
 from pimentocross.placement import const
 
 _JOBS_REMEMBERED = 10_000
-# A task, or a job of which hardly anything ends well, that fails on this many
-# workers is at fault itself.
-_WORKERS_THAT_CLEAR = 2
+# A task that fails on this many workers is at fault itself, and so is a job that
+# fails on as many while hardly any of its tasks succeed.
+_WORKERS_TO_BLAME_JOB = 2
 
 
-class QuarantineTerms(NamedTuple):
-    """When a worker is left alone, and for how long, in seconds.
+class QuarantineSettings(NamedTuple):
+    """When a worker is quarantined, and for how long.
 
     Attributes:
-        after: Jobs that failed in a row.
-        first: The first term.
-        most: The longest term; each failed try doubles it up to this.
+        after: Number of jobs that have to fail in a row.
+        first: Length of the first quarantine, seconds.
+        most: Upper bound of the length, seconds; each failed trial doubles it.
     """
 
     after: int = const.QUARANTINE_AFTER
@@ -31,28 +31,28 @@
     most: float = const.QUARANTINE_MOST
 
 
-DEFAULT_TERMS = QuarantineTerms()
+DEFAULT_SETTINGS = QuarantineSettings()
 
 
-class _Record:
-    """What is held against one worker."""
+class _WorkerRecord:
+    """The failures and the quarantine of one worker."""
 
-    def __init__(self, term: float) -> None:
-        # Tasks that failed in a row, by job.
+    def __init__(self, length: float) -> None:
+        # Tasks that failed since the last success, by job.
         self.failures: dict[str, set[str]] = {}
         self.until = float("-inf")
-        self.term = term
-        self.on_probation = False
-        self.trying = False
+        self.length = length
+        self.is_quarantined = False
+        self.has_trial = False
 
 
 class _JobRecord:
-    """What became of a job's tasks.
+    """Results of the tasks of one job.
 
     Attributes:
-        finished: How many ended well.
-        failed_on: Workers on which any failed.
-        tasks: Workers on which each failed.
+        finished: Number of tasks that succeeded.
+        failed_on: Workers on which any task failed.
+        tasks: Workers on which each task failed, by task.
     """
 
     def __init__(self) -> None:
@@ -61,82 +61,87 @@
         self.tasks: dict[str, set[str]] = {}
 
     @property
-    def is_sound(self) -> bool:
-        """True if most of what it starts ends well."""
-        return self.finished >= max(len(self.failed_on), _WORKERS_THAT_CLEAR)
+    def mostly_succeeds(self) -> bool:
+        """Whether most tasks of the job succeed."""
+        return self.finished >= max(len(self.failed_on), _WORKERS_TO_BLAME_JOB)
 
     def note_failed(self, task: str, worker: str) -> None:
-        """Notes where a task failed."""
+        """Records the worker on which a task failed."""
         self.failed_on.add(worker)
         self.tasks.setdefault(task, set()).add(worker)
 
     def weight(self, tasks: set[str]) -> int:
-        """Returns for how much failures on one worker count against it."""
-        if self.is_sound:
-            cleared = _WORKERS_THAT_CLEAR
-            return sum(
-                len(self.tasks.get(task, ())) < cleared for task in tasks
-            )
-        return int(len(self.failed_on) < _WORKERS_THAT_CLEAR)
+        """Returns how many failures count against a worker.
+
+        Args:
+            tasks: Tasks of the job that failed on the worker.
+        """
+        if self.mostly_succeeds:
+            limit = _WORKERS_TO_BLAME_JOB
+            return sum(len(self.tasks.get(task, ())) < limit for task in tasks)
+        return int(len(self.failed_on) < _WORKERS_TO_BLAME_JOB)
 
 
 class Quarantine:
     """Attributes failures to workers or to jobs.
 
-    A job that fails alone speaks against the job. A worker on which tasks of
-    several jobs fail in a row, without one that finishes, is left alone; so is
-    one on which several tasks of a job fail that otherwise ends well. After a
-    while one task is tried there, and each failure doubles the while.
+    The failures of a single failing job are attributed to the job. A worker is
+    quarantined if tasks of several jobs fail on it in a row, without a success,
+    or if several tasks of a job fail on it that succeeds elsewhere. When the
+    quarantine expires, one task is placed there as a trial; each failed trial
+    doubles the length of the quarantine.
     """
 
-    def __init__(self, terms: QuarantineTerms = DEFAULT_TERMS) -> None:
-        """Starts with nothing held against anyone."""
-        self._terms = terms
-        self._records: dict[str, _Record] = {}
+    def __init__(self, settings: QuarantineSettings = DEFAULT_SETTINGS) -> None:
+        """Initializes the quarantine without any failures."""
+        self._settings = settings
+        self._records: dict[str, _WorkerRecord] = {}
         self._jobs: OrderedDict[str, _JobRecord] = OrderedDict()
 
     def note_finished(self, worker: str, job: str = "", now: float = 0) -> None:
-        """Clears a worker: something finished there.
+        """Records a success, which clears a worker.
 
         Args:
             worker: The worker.
-            job: The job, which speaks for itself by it, or "".
+            job: The job whose task succeeded, or "" if it is unknown.
             now: Present time.
         """
         self._records.pop(worker, None)
         if not job:
             return
         record = self._job(job)
-        was_sound = record.is_sound
+        mostly_succeeded = record.mostly_succeeds
         record.finished += 1
-        if record.is_sound and not was_sound:
-            # What it failed on before is to blame after all.
+        if record.mostly_succeeds and not mostly_succeeded:
+            # Its earlier failures now count against the workers.
             for other in record.failed_on:
-                self._judge(other, now)
+                self._update_quarantine(other, now)
 
     def note_failed(
         self, worker: str, job: str, now: float, task: str = ""
     ) -> None:
-        """Holds a failure against a worker.
+        """Records the failure of a task on a worker.
 
         Args:
             worker: The worker.
-            job: Whose task failed.
+            job: The job whose task failed.
             now: Present time.
-            task: Which of its tasks, if that is known.
+            task: The task, or "" if it is unknown.
         """
-        record = self._records.setdefault(worker, _Record(self._terms.first))
-        record.trying = False
+        record = self._records.setdefault(
+            worker, _WorkerRecord(self._settings.first)
+        )
+        record.has_trial = False
         record.failures.setdefault(job, set()).add(task)
         found = self._job(job)
         found.note_failed(task, worker)
-        if record.on_probation and found.weight({task}):
-            record.term = min(record.term * 2, self._terms.most)
-            record.until = now + record.term
-        self._judge(worker, now)
+        if record.is_quarantined and found.weight({task}):
+            record.length = min(record.length * 2, self._settings.most)
+            record.until = now + record.length
+        self._update_quarantine(worker, now)
 
     def forget(self, worker: str) -> None:
-        """Drops what was held against a worker whose life has ended."""
+        """Drops the failures of a worker whose life has ended."""
         self._records.pop(worker, None)
 
     def _job(self, job: str) -> _JobRecord:
@@ -145,43 +150,43 @@
             self._jobs.popitem(last=False)
         return record
 
-    def _judge(self, worker: str, now: float) -> None:
-        """Leaves a worker alone if enough is held against it."""
+    def _update_quarantine(self, worker: str, now: float) -> None:
+        """Quarantines a worker if enough failures count against it."""
         record = self._records.get(worker)
-        if record is None or record.on_probation:
+        if record is None or record.is_quarantined:
             return
         weight = sum(
             self._jobs[job].weight(tasks)
             for job, tasks in record.failures.items()
             if job in self._jobs
         )
-        if weight >= self._terms.after:
-            record.on_probation = True
-            record.until = now + record.term
+        if weight >= self._settings.after:
+            record.is_quarantined = True
+            record.until = now + record.length
 
     def note_started(self, worker: str) -> None:
-        """Notes the one task that is tried on a worker on probation."""
+        """Records that the trial task of a quarantined worker has started."""
         record = self._records.get(worker)
-        if record is not None and record.on_probation:
-            record.trying = True
+        if record is not None and record.is_quarantined:
+            record.has_trial = True
 
     def note_lost(self, worker: str) -> None:
-        """Notes that the try ended without a verdict."""
+        """Records that a trial task ended without success or failure."""
         record = self._records.get(worker)
         if record is not None:
-            record.trying = False
+            record.has_trial = False
 
     def admits(self, worker: str, now: float) -> bool:
-        """True if a batch task may be placed on a worker."""
+        """Returns whether a batch task may be placed on a worker."""
         record = self._records.get(worker)
-        if record is None or not record.on_probation:
+        if record is None or not record.is_quarantined:
             return True
-        return now >= record.until and not record.trying
+        return now >= record.until and not record.has_trial
 
     def explain(self, worker: str, now: float) -> str:
-        """Returns why a worker is left alone, or ""."""
+        """Returns why a worker is quarantined, or "" if it is not."""
         record = self._records.get(worker)
-        if record is None or not record.on_probation:
+        if record is None or not record.is_quarantined:
             return ""
         failed = len(record.failures)
         left = max(record.until - now, 0.0)
--- a/pimentocross/placement/soundness.py
+++ b/pimentocross/placement/soundness.py
@@ -1,9 +1,9 @@
-"""Which workers are in trouble though they look healthy.
+"""Detects workers that are impaired although their health reports are good.
 
-Load pattern: for some seconds a few workers take several times as long for
-everything, or spoil the response times of all that serves on them, while
-their own reports are good. Their tasks are better off elsewhere, and new ones
-should not join them.
+Load pattern: for some seconds, a few workers take several times as long for
+every task, or raise the response times of all serving tasks on them, while
+their own health reports are good. Their tasks do better on other workers, and
+new tasks should not be placed there.
 """
 
 from collections.abc import Sequence
@@ -13,145 +13,165 @@
 from pimentocross.placement.pacing import Reading
 from pimentocross.work.state import Run, RunState, Step
 
-# Estimates of jobs are off by a factor of 2.5: the median over several jobs at
-# a third of what it is on other workers is most likely the worker's doing.
+# Estimates of jobs are off by a factor of 2.5: if the median speed over several
+# jobs is a third of that on other workers, the worker is the likely cause.
 SLOW_BELOW: Final = 0.33
-SLOW_JOBS: Final = 2
-# Where long tasks are known, as many slow jobs have to be less likely than this
-# on a sound worker: each one blamed has its work begun again.
-_CHANCE_MOST: Final = 0.02
-# Workers that have to be known to judge one, and for how many seconds.
-SLOW_OTHERS: Final = 3
-_SPEED_KEPT: Final = 3.0
-# A run is measured once it has worked this long, in seconds.
-MEASURED_AFTER: Final = 0.7
-# What serves on a sound worker is over its target by chance now and then; all
-# of it, this far over, is the worker's doing.
-SICK_FROM: Final = 1.5
-# ... if it lasts this many seconds, three readings, and fillers explain no
-# more than this of it (in the logarithm of the tail).
-SICK_AFTER: Final = 1.2
-EXPLAINED_MOST: Final = 0.3
-# Fillers raise no tail that far, workers that hang do: from here on one reading
-# is enough.
-SICK_SURELY: Final = 40.0
+MIN_SLOW_JOBS: Final = 2
+# In queues with a tail of long tasks, a worker counts as slow only if so many
+# slow jobs are less likely than this on a healthy worker: the tasks of a worker
+# that counts as slow are started again.
+_MAX_PROBABILITY_HEALTHY: Final = 0.02
+# Other workers needed for a comparison, and maximum age of their speeds in
+# seconds.
+MIN_OTHER_WORKERS: Final = 3
+_SPEED_MAX_AGE: Final = 3.0
+# The speed of a run is measured from this age on.
+MIN_MEASURED_SECONDS: Final = 0.7
+# On a healthy worker, single serving images exceed their targets by chance now
+# and then. If all of them exceed their targets by this factor, the worker is the
+# cause.
+IMPAIRED_RATIO: Final = 1.5
+# ... if this lasts for so many seconds, which is three readings, and fillers
+# explain no more than so much of the logarithm of the tail latency.
+IMPAIRED_AFTER_SECONDS: Final = 1.2
+MAX_EXPLAINED: Final = 0.3
+# Fillers never raise a tail latency by this factor, workers that hang do: one
+# reading is enough.
+HANGING_RATIO: Final = 40.0
 
 
 class Progress(NamedTuple):
-    """How far a run is.
+    """Progress of a run.
 
     Attributes:
-        job: Its job; estimates of one job may all be wrong alike.
-        expected: Seconds that its task is expected to take in all.
-        percent: Progress.
-        elapsed: Seconds that it took to come there.
-        excused: How likely a task that has come to so many seconds is to be a
-            long one, which a sound worker shows as slow.
+        job: Job id; all estimates of one job may be wrong by the same factor.
+        expected: Expected duration of the task, seconds.
+        percent: Progress of the run.
+        elapsed: Seconds in which the run reached this progress.
+        long_task_probability: Probability that a task of this age is a long
+            one, which looks slow on a healthy worker, too.
     """
 
     job: str
     expected: float
     percent: int
     elapsed: float
-    excused: float = 0.0
+    long_task_probability: float = 0.0
 
     @property
     def speed(self) -> float:
-        """Work done in a second, 1 if all goes as expected."""
+        """Speed relative to the expected one, which is 1."""
         return self.expected * self.percent / 100 / self.elapsed
 
     @property
     def left(self) -> float:
-        """Seconds that it will take on at this speed."""
+        """Seconds until the end of the run at its present speed."""
         return self.elapsed * (100 - self.percent) / max(self.percent, 1)
 
 
 class Speeds:
-    """Speeds of workers, so that one is judged against the others.
+    """Compares the speed of each worker with that of the others.
 
-    All of them look slow while they are crowded, or while estimates are off.
+    All workers look slow while they are overloaded or while estimates are too
+    low, so an absolute limit is not enough.
     """
 
     def __init__(self) -> None:
-        """Knows none yet."""
+        """Initializes the comparison without any speeds."""
         self._speeds: dict[int, _Speed] = {}
 
     def is_slow(
         self, worker: int, runs: Sequence[Progress], now: float
     ) -> bool:
-        """Notes how a worker's runs advance; true if it is far too slow.
+        """Records the speed of a worker and returns whether it is too slow.
 
         Args:
-            worker: Its number.
-            runs: Its runs.
+            worker: Number of the worker.
+            runs: Runs on the worker.
             now: Present time.
         """
-        measured = [run for run in runs if run.elapsed >= MEASURED_AFTER]
-        if len({run.job for run in measured}) < SLOW_JOBS:
+        measured = [run for run in runs if run.elapsed >= MIN_MEASURED_SECONDS]
+        if len({run.job for run in measured}) < MIN_SLOW_JOBS:
             return False
         speed = statistics.median([run.speed for run in measured])
         self._speeds[worker] = _Speed(speed, now)
         if speed >= SLOW_BELOW:
-            # Others are taken for no faster than expected: they needn't be
-            # looked at, all of them for each listing.
+            # Other workers count as no faster than expected, so a comparison
+            # with all of them, for each report, can be skipped.
             return False
         others = [
             known.speed
             for number, known in self._speeds.items()
-            if number != worker and now - known.at <= _SPEED_KEPT
+            if number != worker and now - known.measured_at <= _SPEED_MAX_AGE
         ]
-        if len(others) < SLOW_OTHERS:
+        if len(others) < MIN_OTHER_WORKERS:
             return False
         usual = min(statistics.median(others), 1.0)
         if speed >= SLOW_BELOW * usual:
             return False
-        return _chance_long(measured, SLOW_BELOW * usual) <= _CHANCE_MOST
+        return (
+            _probability_of_long_jobs(measured, SLOW_BELOW * usual)
+            <= _MAX_PROBABILITY_HEALTHY
+        )
 
 
 class _Speed(NamedTuple):
     speed: float
-    at: float
+    measured_at: float
 
 
-def _chance_long(runs: Sequence[Progress], slow_below: float) -> float:
-    """Returns how likely as many jobs are slow here for being long ones.
+def _probability_of_long_jobs(
+    runs: Sequence[Progress], slow_below: float
+) -> float:
+    """Returns the probability that as many jobs are slow by long tasks alone.
 
-    0 where none is known to be: then the median alone judges. Tasks of one job
-    are long together.
+    Tasks of one job are assumed to be long together.
+
+    Args:
+        runs: Measured runs of one worker.
+        slow_below: Speed below which a job counts as slow.
+
+    Returns:
+        The probability, 0 if no run may be of a long task: then the median
+        speed alone decides.
     """
-    if not any(run.excused for run in runs):
+    if not any(run.long_task_probability for run in runs):
         return 0.0
     jobs: dict[str, list[Progress]] = {}
     for run in runs:
         jobs.setdefault(run.job, []).append(run)
     slow = 0
-    # Chances that so many of the jobs looked at so far are long.
-    chances = [1.0] + [0.0] * len(jobs)
+    # At index n, the probability that n of the jobs so far are long.
+    probabilities = [1.0] + [0.0] * len(jobs)
     for found in jobs.values():
         slow += statistics.median([run.speed for run in found]) < slow_below
-        excused = max(run.excused for run in found)
+        long_task_probability = max(run.long_task_probability for run in found)
         for count in range(len(jobs), 0, -1):
-            fewer = chances[count - 1] * excused
-            chances[count] = chances[count] * (1 - excused) + fewer
-        chances[0] *= 1 - excused
-    return sum(chances[slow:])
+            fewer = probabilities[count - 1] * long_task_probability
+            probabilities[count] = (
+                probabilities[count] * (1 - long_task_probability) + fewer
+            )
+        probabilities[0] *= 1 - long_task_probability
+    return sum(probabilities[slow:])
 
 
 def is_sick(readings: Sequence[Reading], explained: float) -> bool:
-    """True if all that serves on a worker suffers, and not by fillers.
+    """Returns whether all serving images suffer, and not because of fillers.
 
     Args:
-        readings: Of the images that serve there.
-        explained: What fillers there are expected to add to the logarithm.
+        readings: Readings of all serving images on the worker.
+        explained: Rise of the logarithm of the tail latency that is expected
+            from the fillers on the worker.
     """
     if not readings:
         return False
-    if all(reading.typical >= SICK_SURELY for reading in readings):
+    if all(reading.median_ratio >= HANGING_RATIO for reading in readings):
         return True
-    if explained > EXPLAINED_MOST:
+    if explained > MAX_EXPLAINED:
         return False
     return all(
-        reading.typical >= SICK_FROM and reading.over_for >= SICK_AFTER
+        reading.median_ratio >= IMPAIRED_RATIO
+        and reading.over_for >= IMPAIRED_AFTER_SECONDS
         for reading in readings
     )
 
@@ -160,13 +180,17 @@
     return run.state is RunState.RUNNING and run.percent >= 100
 
 
-def may_take_away(step: Step) -> bool:
-    """True if one more task of a lasting step may be away by our doing."""
-    most = step.spec.away_most
-    if most is None:
+def may_evict_task(step: Step) -> bool:
+    """Returns whether one more task of a lasting step may be evicted.
+
+    The step bounds how many of its tasks the scheduler may have stopped or not
+    yet started elsewhere at a time.
+    """
+    limit = step.spec.away_most
+    if limit is None:
         return True
     at_work = sum(
         any(_is_at_work(run) for run in task.runs.values())
         for task in step.tasks
     )
-    return step.spec.width - at_work < most
+    return step.spec.width - at_work < limit
--- a/pimentocross/placement/triage.py
+++ b/pimentocross/placement/triage.py
@@ -18,7 +18,7 @@
 from typing import Final, NamedTuple
 import zlib
 
-from pimentocross.placement.urgency import Chance, Urgency
+from pimentocross.placement.urgency import DeadlineClass, Urgency
 
 # A job counts so much for the caller that is served, whatever its size, and
 # the rest for its work against the mean of its queue.
@@ -42,17 +42,17 @@
     """
 
     priority: int
-    chance: Chance
-    burden: float
+    chance: DeadlineClass
+    cost_ratio: float
     spare: float
 
     @property
     def is_put_back(self) -> bool:
         """True if it takes more for its worth than the mean of its queue."""
-        return self.burden > 1.0
+        return self.cost_ratio > 1.0
 
 
-class Waiting(NamedTuple):
+class WaitingJob(NamedTuple):
     """What is left to start of a job.
 
     Attributes:
@@ -66,12 +66,12 @@
     margin: float
 
 
-def order_of(rank: Urgency, burden: float = 0.0) -> Order:
+def order_of(rank: Urgency, cost_ratio: float = 0.0) -> Order:
     """Returns where a job goes; without a burden that is the usual order."""
-    return Order(rank.priority, rank.chance, burden, rank.spare)
+    return Order(rank.priority, rank.chance, cost_ratio, rank.spare)
 
 
-def burden(name: str, relative_work: float) -> float:
+def cost_ratio(name: str, relative_work: float) -> float:
     """Returns the work that a job takes for what it is worth; the mean is 1.
 
     Large jobs are exempt by a lot that their name draws: that needs no memory,
@@ -87,7 +87,9 @@
     return relative_work / worth
 
 
-def short_priorities(waiting: Iterable[Waiting], room: float) -> set[int]:
+def overloaded_priorities(
+    waiting: Iterable[WaitingJob], room: float
+) -> set[int]:
     """Returns the priorities whose jobs can't all be in time.
 
     Args:
@@ -106,7 +108,7 @@
     return short
 
 
-def _is_short(jobs: Iterable[Waiting], ahead: float, room: float) -> bool:
+def _is_short(jobs: Iterable[WaitingJob], ahead: float, room: float) -> bool:
     """Returns whether jobs of one priority can't all begin in time.
 
     Args:
@@ -116,9 +118,9 @@
     """
     due = []
     for job in jobs:
-        if job.rank.chance is Chance.BEGUN:
+        if job.rank.chance is DeadlineClass.BEGUN:
             ahead += job.work
-        elif job.rank.chance is Chance.COMFORTABLE:
+        elif job.rank.chance is DeadlineClass.COMFORTABLE:
             due.append((job.rank.spare - job.margin, job.work))
     for begin, work in sorted(due):
         # What has begun ends meanwhile: only what waits is ahead.
--- a/pimentocross/placement/urgency.py
+++ b/pimentocross/placement/urgency.py
@@ -25,7 +25,7 @@
 MARGIN: Final = 0.25
 
 
-class Chance(IntEnum):
+class DeadlineClass(IntEnum):
     """What can still be earned, and how surely."""
 
     BEGUN = 0
@@ -46,7 +46,7 @@
     """
 
     priority: int
-    chance: Chance
+    chance: DeadlineClass
     spare: float
 
 
@@ -60,10 +60,10 @@
     """
     job = step.job
     if step.spec.lasting:
-        return Urgency(job.queue.priority, Chance.BEGUN, 0.0)
+        return Urgency(job.queue.priority, DeadlineClass.BEGUN, 0.0)
     aim = objective(step, durations)
     waited = wall - max(job.accepted_at, step.occurrence.due)
-    left = durations.chain_left(step.occurrence)
+    left = durations.remaining_critical_path(step.occurrence)
     spare = aim - waited - left
     if spare >= 0:
         chance = _chance_in_time(job, spare, aim)
@@ -77,21 +77,21 @@
 def objective(step: Step, durations: Durations) -> float:
     """Returns within how many seconds a step's job is in time."""
     queue = step.job.queue
-    chain = durations.chain(step.occurrence)
-    return queue.slack * chain + queue.target_latency
+    critical_path = durations.critical_path(step.occurrence)
+    return queue.slack * critical_path + queue.target_latency
 
 
-def _chance_in_time(job: Job, spare: float, objective: float) -> Chance:
+def _chance_in_time(job: Job, spare: float, objective: float) -> DeadlineClass:
     if job.state is JobState.RUNNING:
-        return Chance.BEGUN
+        return DeadlineClass.BEGUN
     if spare >= MARGIN * objective:
-        return Chance.COMFORTABLE
-    return Chance.TIGHT
+        return DeadlineClass.COMFORTABLE
+    return DeadlineClass.TIGHT
 
 
-def _chance_late(job: Job, late_spare: float) -> Chance:
+def _chance_late(job: Job, late_spare: float) -> DeadlineClass:
     if late_spare < 0:
-        return Chance.HOPELESS
+        return DeadlineClass.HOPELESS
     if job.state is JobState.RUNNING:
-        return Chance.LATE_BEGUN
-    return Chance.LATE
+        return DeadlineClass.LATE_BEGUN
+    return DeadlineClass.LATE
--- a/pimentocross/placement/weighted.py
+++ b/pimentocross/placement/weighted.py
@@ -59,9 +59,13 @@
         for name, count in worker.classes.items():
             if count <= 0:
                 continue
-            harm = self._interference.added(name, wanted.class_name, band)
+            harm = self._interference.optimistic_slowdown(
+                name, wanted.class_name, band
+            )
             cost += self._weight(name) * count * harm
-            suffered = self._interference.added(wanted.class_name, name, band)
+            suffered = self._interference.optimistic_slowdown(
+                wanted.class_name, name, band
+            )
             cost += self._weight(wanted.class_name) * count * suffered
         if wanted.kind is TaskKind.SERVICE:
             cost += self._crowding(wanted.class_name, worker)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -18,13 +18,13 @@
 from pimentocross.owner.desk import JobReply, Outcome
 from pimentocross.owner.owner import Owner
 from pimentocross.placement.forecast import (
-    CLEAR,
-    RETRY_LEAST,
-    RETRY_MOST,
+    MAX_RETRY_SECONDS,
+    MIN_RETRY_SECONDS,
+    REFUSAL_FACTOR,
     FinishRate,
     Load,
-    RecentRoom,
-    is_in_vain,
+    RecentCapacity,
+    is_too_late,
     retry_after,
 )
 from pimentocross.platform.callers import CallerSurface
@@ -52,14 +52,14 @@
 
 
 def test_only_what_is_far_beyond_use_is_refused() -> None:
-    bearable = (CLEAR * _LOAD.use - _LOAD.own) * _LOAD.room
-    assert not is_in_vain(_LOAD)
-    assert not is_in_vain(_LOAD._replace(ahead=bearable - 1))
-    assert is_in_vain(_LOAD._replace(ahead=bearable + 1))
+    bearable = (REFUSAL_FACTOR * _LOAD.use - _LOAD.own) * _LOAD.room
+    assert not is_too_late(_LOAD)
+    assert not is_too_late(_LOAD._replace(ahead=bearable - 1))
+    assert is_too_late(_LOAD._replace(ahead=bearable + 1))
     # Nothing is known of room that isn't there.
-    assert not is_in_vain(_LOAD._replace(ahead=bearable + 1, room=0.0))
+    assert not is_too_late(_LOAD._replace(ahead=bearable + 1, room=0.0))
     # It would be late with nothing ahead, whenever its caller came back.
-    assert not is_in_vain(_LOAD._replace(ahead=bearable + 1, chain=30.0))
+    assert not is_too_late(_LOAD._replace(ahead=bearable + 1, chain=30.0))
 
 
 def test_callers_come_back_once_there_is_room_and_not_all_at_once() -> None:
@@ -68,12 +68,12 @@
     assert min(times) >= load.wait + load.own - load.objective
     tenths = {int(10 * (t - min(times)) / 10) for t in times}
     assert len(tenths) >= 9
-    assert retry_after(_LOAD, "job") == RETRY_LEAST
-    assert retry_after(_LOAD._replace(ahead=1e6), "job") == RETRY_MOST
+    assert retry_after(_LOAD, "job") == MIN_RETRY_SECONDS
+    assert retry_after(_LOAD._replace(ahead=1e6), "job") == MAX_RETRY_SECONDS
 
 
 def test_room_and_rate_are_known_after_a_while_and_fade() -> None:
-    rate, room = FinishRate(), RecentRoom()
+    rate, room = FinishRate(), RecentCapacity()
     assert rate.cores(0.0) is None
     for tick in range(200):
         rate.note(5.0, tick / 10)
@@ -111,7 +111,7 @@
         reply = await _submit(owner, "late", chain(2, 1))
         assert reply.outcome is Outcome.FULL
         assert trio.current_time() - began < 0.05
-        assert RETRY_LEAST <= reply.retry_after <= RETRY_MOST
+        assert MIN_RETRY_SECONDS <= reply.retry_after <= MAX_RETRY_SECONDS
         counted = meters.total('jobs_refused_total{queue="later"}')
         assert counted == refused + 1
         # Nothing of it was kept.
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -29,7 +29,7 @@
     is_worth_copy,
 )
 from pimentocross.placement.durations import Durations
-from pimentocross.placement.urgency import Chance
+from pimentocross.placement.urgency import DeadlineClass
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import RunEvent, TaskPlan
 from pimentocross.standins.worker_hall import WorkerHall
@@ -52,13 +52,13 @@
 _USUAL = 0.7
 _LONG = 7 * _USUAL
 _STEP = StepSpec(10, SMALL, _USUAL, copies=True)
-_LATE = Straggler(3.5, _USUAL, 1, 10, Chance.BEGUN)
+_LATE = Straggler(3.5, _USUAL, 1, 10, DeadlineClass.BEGUN)
 
 
 def test_a_copy_is_worth_it_for_what_holds_up_its_step() -> None:
     assert is_worth_copy(_LATE)
-    assert is_worth_copy(_LATE._replace(chance=Chance.LATE_BEGUN))
-    assert not is_worth_copy(_LATE._replace(chance=Chance.HOPELESS))
+    assert is_worth_copy(_LATE._replace(chance=DeadlineClass.LATE_BEGUN))
+    assert not is_worth_copy(_LATE._replace(chance=DeadlineClass.HOPELESS))
     assert not is_worth_copy(_LATE._replace(undone=5))
     assert not is_worth_copy(_LATE._replace(left=1.5))
 
--- a/tests/test_failing_workers.py
+++ b/tests/test_failing_workers.py
@@ -16,7 +16,7 @@
 from pimentocross.contracts.worker_link import Ending, EndKind
 from pimentocross.owner import wall
 from pimentocross.owner.endings import apply_ending
-from pimentocross.placement.quarantine import Quarantine, QuarantineTerms
+from pimentocross.placement.quarantine import Quarantine, QuarantineSettings
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import TaskPlan
 from pimentocross.standins.worker_hall import WorkerHall
@@ -90,7 +90,7 @@
 
 
 def test_a_job_that_ends_well_elsewhere_is_not_at_fault() -> None:
-    quarantine = Quarantine(QuarantineTerms(after=2, first=3.0))
+    quarantine = Quarantine(QuarantineSettings(after=2, first=3.0))
     for number in range(8):
         quarantine.note_finished(f"good{number}", "wide", 1.0)
     for worker in ("bad0", "bad1", "bad2"):
@@ -101,7 +101,7 @@
 
 
 def test_what_failed_before_the_job_proved_sound_counts_then() -> None:
-    quarantine = Quarantine(QuarantineTerms(after=2, first=3.0))
+    quarantine = Quarantine(QuarantineSettings(after=2, first=3.0))
     for worker in ("bad0", "bad1"):
         _fail(quarantine, worker, f"wide.{worker}.0")
         _fail(quarantine, worker, f"wide.{worker}.1")
@@ -113,7 +113,7 @@
 
 
 def test_a_task_that_fails_wherever_it_goes_is_at_fault() -> None:
-    quarantine = Quarantine(QuarantineTerms(after=2, first=3.0))
+    quarantine = Quarantine(QuarantineSettings(after=2, first=3.0))
     for number in range(8):
         quarantine.note_finished(f"good{number}", "mixed", 1.0)
     for worker in ("a", "b", "c"):
@@ -125,7 +125,7 @@
 
 
 def test_a_job_that_cannot_be_done_speaks_against_no_worker() -> None:
-    quarantine = Quarantine(QuarantineTerms(after=2, first=3.0))
+    quarantine = Quarantine(QuarantineSettings(after=2, first=3.0))
     for worker in ("a", "b", "c"):
         for number in range(4):
             _fail(quarantine, worker, f"poison.{number}")
--- a/tests/test_field.py
+++ b/tests/test_field.py
@@ -19,7 +19,7 @@
 from pimentocross.owner.isolation import Isolation
 from pimentocross.owner.worker import Worker
 from pimentocross.placement import hosts
-from pimentocross.placement.disturbance import Disturbance, Pair
+from pimentocross.placement.disturbance import Disturbance, PairEstimate
 from pimentocross.placement.field import Field
 from pimentocross.placement.hosts import View
 from pimentocross.placement.layout import Compatibility, Outlook
@@ -230,7 +230,7 @@
     # be tried again, which the list of a kind begun later has to know.
     async def choose() -> None:
         disturbance = Disturbance()
-        disturbance.restore([Pair("s2", "f", 4.0, 3.0)], 0.0)
+        disturbance.restore([PairEstimate("s2", "f", 4.0, 3.0)], 0.0)
         workers = [make_worker(life(number), number) for number in range(3)]
         serving = StepSpec(1, _SIZE, lasting=True, target_tail=20)
         filling = StepSpec(1, Size(500, 500, 0), fills=True, image="f")
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -13,7 +13,7 @@
 from pimentocross.owner.arranger import Arranger
 from pimentocross.owner.learned import Learned
 from pimentocross.placement.demand import Demand
-from pimentocross.placement.disturbance import Disturbance, Pair
+from pimentocross.placement.disturbance import Disturbance, PairEstimate
 from pimentocross.placement.host import left_to_fill
 from pimentocross.placement.layout import Compatibility, Outlook, scarcities
 from pimentocross.placement.moves import Mover, seat_of
@@ -95,7 +95,7 @@
     disturbance = Disturbance()
     disturbance.restore(
         [
-            Pair(serving, filling, 5.0, 0.1)
+            PairEstimate(serving, filling, 5.0, 0.1)
             for filling, victims in pairs.items()
             for serving in victims
         ],
@@ -276,7 +276,8 @@
     store = StoreStandin()
     learned = Learned()
     learned.disturbance.restore(
-        [Pair("a", "x", 8.0, 0.1), Pair("b", "y", 8.0, 0.1)], 0.0
+        [PairEstimate("a", "x", 8.0, 0.1), PairEstimate("b", "y", 8.0, 0.1)],
+        0.0,
     )
     record = Record(records.LEARNED, learned.encode())
     await store.client("a").append("jobs", [record], 1.0)
--- a/tests/test_new_workers.py
+++ b/tests/test_new_workers.py
@@ -12,7 +12,7 @@
 from pimentocross.owner import wall
 from pimentocross.owner.learned import Learned
 from pimentocross.owner.owner import Owner
-from pimentocross.placement.disturbance import Pair
+from pimentocross.placement.disturbance import PairEstimate
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import (
     LASTS,
@@ -64,7 +64,7 @@
 async def _play(hall: WorkerHall, sent: dict[str, float]) -> float:
     """Returns when the new workers came."""
     store, learned = StoreStandin(), Learned()
-    learned.disturbance.restore([Pair("serves", "x", 0.0, 0.01)], 0.0)
+    learned.disturbance.restore([PairEstimate("serves", "x", 0.0, 0.01)], 0.0)
     record = Record(records.LEARNED, learned.encode())
     await store.client("a").append("jobs", [record], 1.0)
     with mock.patch.object(wall, "now", trio.current_time):
--- a/tests/test_placement_under_load.py
+++ b/tests/test_placement_under_load.py
@@ -6,7 +6,7 @@
 import random
 
 from pimentocross.contracts.worker_link import WorkerLife
-from pimentocross.placement.disturbance import Disturbance, Pair
+from pimentocross.placement.disturbance import Disturbance, PairEstimate
 from pimentocross.placement.durations import Durations
 from pimentocross.placement.host import left_over
 from pimentocross.placement.hosts import View, choose, plain_view
@@ -22,10 +22,10 @@
     Progress,
     Speeds,
     is_sick,
-    may_take_away,
+    may_evict_task,
 )
 from pimentocross.placement.stalls import STALL_AFTER, is_stalled
-from pimentocross.placement.urgency import Chance, urgency
+from pimentocross.placement.urgency import DeadlineClass, urgency
 from pimentocross.work.spec import JobSpec, Size, StepSpec
 from pimentocross.work.state import Job, Run, RunState, Step
 from tests.owner_fixtures import QUEUE, ROOM, SMALL, life
@@ -109,7 +109,7 @@
 def test_pairs_that_disturb_are_told_from_those_that_do_not() -> None:
     disturbance = _taught(_TRUTH, seconds=60)
     for (serving, image), truth in _TRUTH.items():
-        assert disturbance.is_bad(serving, image) == (truth > 2), image
+        assert disturbance.disturbs(serving, image) == (truth > 2), image
 
 
 def test_a_pair_that_is_not_seen_any_more_is_tried_again() -> None:
@@ -124,8 +124,8 @@
     successor = Disturbance()
     successor.restore(disturbance.pairs(), now=0.0)
     for serving, image in _TRUTH:
-        bad = disturbance.is_bad(serving, image)
-        assert successor.is_bad(serving, image) == bad
+        bad = disturbance.disturbs(serving, image)
+        assert successor.disturbs(serving, image) == bad
 
 
 def test_a_worker_that_hangs_teaches_little() -> None:
@@ -201,7 +201,7 @@
 def _blamed(variance: float) -> Disturbance:
     """Returns what is known after one pair has been blamed."""
     disturbance = Disturbance()
-    disturbance.restore([Pair("shop", "batch", 4.0, variance)], 0.0)
+    disturbance.restore([PairEstimate("shop", "batch", 4.0, variance)], 0.0)
     return disturbance
 
 
@@ -256,7 +256,7 @@
             disturbance.learn("shop", loads, ratio, now, worker)
         disturbance.advance(now)
         if tick >= 24:
-            wrong += disturbance.is_bad("shop", "batch") != (truth > 2)
+            wrong += disturbance.disturbs("shop", "batch") != (truth > 2)
     return wrong / 36
 
 
@@ -306,7 +306,9 @@
     fillers = [Filler("x", 0.1, FULL_PACE), Filler("y", 0.1, 30)]
     readings = [Reading("shop", 0.5, 0.4), Reading("maps", 1.1, 0.5, 2.0)]
     harmless = Disturbance()
-    harmless.restore([Pair("maps", image, 0.0, 0.1) for image in "xy"], 0.0)
+    harmless.restore(
+        [PairEstimate("maps", image, 0.0, 0.1) for image in "xy"], 0.0
+    )
     assert next_paces(readings, fillers, harmless) == [0, 0]
 
 
@@ -325,7 +327,7 @@
     assert paces == [FULL_PACE]
 
 
-def _urgencies(now: float) -> dict[str, Chance]:
+def _urgencies(now: float) -> dict[str, DeadlineClass]:
     """Returns the chances of a begun, a fresh, a tight and a hopeless job."""
     durations = Durations()
     step = StepSpec(1, SMALL, 2.0)
@@ -407,9 +409,9 @@
         run.enter(RunState.RUNNING, 0.0)
         run.percent = 100
         task.add_run(run)
-    assert may_take_away(step)
+    assert may_evict_task(step)
     step.tasks[0].runs[1].percent = 0
-    assert not may_take_away(step)
+    assert not may_evict_task(step)
 
 
 def test_a_task_whose_stop_is_on_its_way_counts_as_away() -> None:
@@ -420,15 +422,17 @@
         run.enter(RunState.RUNNING, 0.0)
         run.percent = 100
         task.add_run(run)
-    assert may_take_away(step)
+    assert may_evict_task(step)
     step.tasks[0].runs[1].enter(RunState.STOPPING, 1.0)
-    assert not may_take_away(step)
+    assert not may_evict_task(step)
 
 
 def test_a_wide_step_is_expected_to_last_as_long_as_its_slowest_task() -> None:
     durations = Durations()
     chains = [
-        durations.chain(_job(StepSpec(width, SMALL, 2.0)).occurrences[0])
+        durations.critical_path(
+            _job(StepSpec(width, SMALL, 2.0)).occurrences[0]
+        )
         for width in (1, 8, 32)
     ]
     assert chains[0] == 2.0
--- a/tests/test_reclaim.py
+++ b/tests/test_reclaim.py
@@ -9,7 +9,7 @@
 from pimentocross.owner.learned import Learned
 from pimentocross.owner.owner import Owner
 from pimentocross.owner.reclaimer import Reclaimer
-from pimentocross.placement.disturbance import Pair
+from pimentocross.placement.disturbance import PairEstimate
 from pimentocross.placement.moves import Seat, seat_of
 from pimentocross.placement.reclaim import choose_evictions, tasks_most
 from pimentocross.standins.store import StoreStandin
@@ -190,7 +190,7 @@
     """Has many steps of an image wait that is shut out, then another's."""
     store = StoreStandin()
     learned = Learned()
-    pair = Pair("serving", "shut-out", 9.0, 0.1)
+    pair = PairEstimate("serving", "shut-out", 9.0, 0.1)
     learned.disturbance.restore([pair], 0.0)
     record = Record(records.LEARNED, learned.encode())
     await store.client("a").append("jobs", [record], 1.0)
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -11,7 +11,7 @@
 from pimentocross.owner import dispatcher, wall
 from pimentocross.owner.desk import Outcome
 from pimentocross.placement.durations import Durations
-from pimentocross.placement.urgency import Chance, Urgency, urgency
+from pimentocross.placement.urgency import DeadlineClass, Urgency, urgency
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import TaskPlan
 from pimentocross.work.state import JobState, Step
@@ -39,8 +39,8 @@
 ) -> Urgency:
     job = step.job
     spare = _OBJECTIVE - (today - job.accepted_at)
-    spare -= durations.chain_left(step.occurrence)
-    return Urgency(job.queue.priority, Chance.BEGUN, spare)
+    spare -= durations.remaining_critical_path(step.occurrence)
+    return Urgency(job.queue.priority, DeadlineClass.BEGUN, spare)
 
 
 async def _earn(order: Order, earned: list[int]) -> None:
--- a/tests/test_tails.py
+++ b/tests/test_tails.py
@@ -91,8 +91,8 @@
     for estimate in (0.0, 0.2, 0.7, 5.0):
         spec = _SPEC._replace(estimate=estimate)
         assert learned.task(QUEUE.name, spec) == plain.task(QUEUE.name, spec)
-    assert learned.of_step(step) == plain.of_step(step)
-    assert not learned.chance_over(QUEUE.name, 2.0, 1.0)
+    assert learned.expected_duration(step) == plain.expected_duration(step)
+    assert not learned.probability_over(QUEUE.name, 2.0, 1.0)
 
 
 def test_an_estimate_far_above_the_usual_is_believed() -> None:
@@ -119,12 +119,14 @@
     durations, step = _with_tail(), _step("j")
     for _ in range(3):
         durations.note_task(step, 4.9, 4.9)
-    assert 3.0 < durations.of_step(step) < 5.0
+    assert 3.0 < durations.expected_duration(step) < 5.0
 
 
 def test_the_slowest_of_a_step_is_told_by_the_spread_within_steps() -> None:
     durations, step = _with_tail(), _step("j")
-    wide = durations.chain(step.occurrence) / durations.of_step(step)
+    wide = durations.critical_path(
+        step.occurrence
+    ) / durations.expected_duration(step)
     # 1.5 deviations of 0.25 in the logarithm.
     assert 1.3 < wide < 1.7, wide
 
@@ -135,7 +137,7 @@
     assert 3.2 < left < 4.2, left
     assert durations.remaining(step, 0.5, 70) < 0.4
     whole = durations.remaining(step, 0.0, 0)
-    assert whole == durations.of_step(step)
+    assert whole == durations.expected_duration(step)
 
 
 def test_others_of_a_long_step_speak_for_its_worker() -> None:
@@ -158,8 +160,10 @@
 def _progress(
     durations: Durations, job: str, percent: int, elapsed: float = 1.0
 ) -> Progress:
-    excused = durations.chance_over(QUEUE.name, _USUAL / SLOW_BELOW, elapsed)
-    return Progress(job, _USUAL, percent, elapsed, excused)
+    long_task_probability = durations.probability_over(
+        QUEUE.name, _USUAL / SLOW_BELOW, elapsed
+    )
+    return Progress(job, _USUAL, percent, elapsed, long_task_probability)
 
 
 def test_a_sound_worker_is_not_blamed_for_long_tasks() -> None:
--- a/tests/test_triage.py
+++ b/tests/test_triage.py
@@ -13,15 +13,15 @@
 from pimentocross.placement.durations import Durations
 from pimentocross.placement.triage import (
     Order,
-    Waiting,
-    burden,
+    WaitingJob,
+    cost_ratio,
     order_of,
-    short_priorities,
+    overloaded_priorities,
 )
 from pimentocross.placement.urgency import (
     LATE_FACTOR,
     MARGIN,
-    Chance,
+    DeadlineClass,
     Urgency,
 )
 from pimentocross.work.spec import Size, StepSpec
@@ -57,19 +57,23 @@
     def work(self) -> float:
         return self.width * self.guess * _CORES_A_TASK
 
-    def waiting(self, now: float, tasks: int) -> Waiting:
+    def waiting(self, now: float, tasks: int) -> WaitingJob:
         """Returns how it stands while some of its tasks wait."""
         spare = self.aim - (now - self.came) - self.guess
         margin = MARGIN * self.aim
         if spare < 0:
             spare += (LATE_FACTOR - 1) * self.aim
-            chance = Chance.HOPELESS if spare < 0 else Chance.LATE
+            chance = DeadlineClass.HOPELESS if spare < 0 else DeadlineClass.LATE
         elif tasks < self.width:
-            chance = Chance.BEGUN
+            chance = DeadlineClass.BEGUN
         else:
-            chance = Chance.COMFORTABLE if spare >= margin else Chance.TIGHT
+            chance = (
+                DeadlineClass.COMFORTABLE
+                if spare >= margin
+                else DeadlineClass.TIGHT
+            )
         rank = Urgency(0, chance, spare)
-        return Waiting(rank, self.work * tasks / self.width, margin)
+        return WaitingJob(rank, self.work * tasks / self.width, margin)
 
 
 def _jobs(kind: _Kind, seed: int) -> list[_Job]:
@@ -89,14 +93,14 @@
 
 
 def _orders(
-    waits: dict[_Job, Waiting], room: float, mean: float
+    waits: dict[_Job, WaitingJob], room: float, mean: float
 ) -> list[Order]:
     """Returns where jobs go; in the usual order without a mean."""
-    if not mean or not short_priorities(waits.values(), room):
+    if not mean or not overloaded_priorities(waits.values(), room):
         return [order_of(each.rank) for each in waits.values()]
     return [
-        order_of(each.rank, burden(job.name, job.work / mean))
-        if each.rank.chance is Chance.COMFORTABLE
+        order_of(each.rank, cost_ratio(job.name, job.work / mean))
+        if each.rank.chance is DeadlineClass.COMFORTABLE
         else order_of(each.rank)
         for job, each in waits.items()
     ]
@@ -166,9 +170,9 @@
 
 
 def test_large_jobs_draw_lots() -> None:
-    drawn = [burden(f"job{n}", 3.0) for n in range(400)]
+    drawn = [cost_ratio(f"job{n}", 3.0) for n in range(400)]
     assert 0.4 < drawn.count(1.0) / len(drawn) < 0.6
-    assert burden("j", 0.2) < burden("j", 1.0) < burden("j", 1.5)
+    assert cost_ratio("j", 0.2) < cost_ratio("j", 1.0) < cost_ratio("j", 1.5)
 
 
 _WORKER = Size(32_000, 128_000, 0)
@@ -183,7 +187,7 @@
 
 
 def _rank(spare: float) -> Urgency:
-    return Urgency(0, Chance.COMFORTABLE, spare)
+    return Urgency(0, DeadlineClass.COMFORTABLE, spare)
 
 
 def _mixed(count: int) -> list[tuple[Urgency, Step]]:
@@ -214,13 +218,13 @@
     None
 ):
     ranks, backlog = _mixed(40), Backlog(Durations())
-    assert not any(o.burden for o in _looked(backlog, ranks, 60, 1.0))
+    assert not any(o.cost_ratio for o in _looked(backlog, ranks, 60, 1.0))
     orders = _looked(backlog, ranks, 6, 1.3)
     first = min(zip(orders, ranks, strict=True), key=lambda pair: pair[0])
     assert first[1][1].spec.width == 2
     assert any(order.is_put_back for order in orders)
     assert backlog.work_by_queue()[QUEUE.name] > 1000
-    assert not any(o.burden for o in _looked(backlog, ranks, 60, 1.6))
+    assert not any(o.cost_ratio for o in _looked(backlog, ranks, 60, 1.6))
     # What is free again, or waits no more, is no backlog.
     assert not backlog.work_by_queue()
 
@@ -236,8 +240,8 @@
     reserving = [(_rank(5.0), make_step(f"r{n}", _TASKS)) for n in range(5)]
     backlog = Backlog(Durations())
     backlog.look([*filling, *reserving], workers, 0.0, 1.0)
-    assert not any(backlog.order(*each).burden for each in filling)
-    assert all(backlog.order(*each).burden for each in reserving)
+    assert not any(backlog.order(*each).cost_ratio for each in filling)
+    assert all(backlog.order(*each).cost_ratio for each in reserving)
     whole = {account: room.whole for account, room in backlog.rooms.items()}
     assert whole[Account("stock", fills=False)] == 16.0
     assert whole[Account("stock", fills=True)] > 100
