--- a/pimentocross/placement/durations.py
+++ b/pimentocross/placement/durations.py
@@ -165,7 +165,7 @@
             known = Tail(_MIN_STEPS, _STEPS_REMEMBERED)
             self._long_steps[queue] = known
         known.note(ratio)
-        if known.is_seen and self._use_tails:
+        if known.is_detected and self._use_tails:
             self.has_any_tail = True
 
     def task(self, queue: str, spec: StepSpec) -> float:
@@ -194,12 +194,12 @@
         Not passed on between owners: a new owner measures it anew.
         """
         known = self._long_steps.get(queue)
-        return self._use_tails and known is not None and known.is_seen
+        return self._use_tails and known is not None and known.is_detected
 
     def has_stragglers(self, queue: str) -> bool:
         """Returns whether single tasks take far longer than their step."""
         known = self._long_tasks.get(queue)
-        return known is not None and known.is_seen
+        return known is not None and known.is_detected
 
     def has_measured_tasks(self, step: Step) -> bool:
         """Returns whether ended tasks of a step predict the others of it."""
@@ -280,8 +280,8 @@
 
     def _slowest(self, queue: str, width: int) -> float:
         """Returns the slowest task of a step over the median one."""
-        # In a queue with a tail, steps differ by more than the tasks of one step
-        # do: only the variance within steps applies.
+        # In a queue with a tail, steps differ by more than the tasks of one
+        # step do: only the variance within steps applies.
         within_steps = self.has_tail(queue)
         variances = (
             self._variances_within_steps if within_steps else self._variances
--- a/pimentocross/placement/forecast.py
+++ b/pimentocross/placement/forecast.py
@@ -1,13 +1,13 @@
-"""Whether work that comes could still be of use once it is done.
+"""Predicts whether a new job would end too late to be of use to its caller.
 
-Load pattern: more work of the same or a higher priority waits than the room
-can do for many times what callers wait. A caller who learns of that only by
-waiting can do nothing else meanwhile; told at once, it can come back later or
-help itself.
+Load pattern: the backlog of the same or a higher priority takes many times as
+long to process as callers wait. A caller who learns this only by waiting loses
+that time; a caller who is refused at once can retry later or find another way.
 
-A forecast is off by a factor of 2.5 for one job, by less for the sum of many.
-A caller who is turned away for nothing loses all, one who is kept in vain loses
-a wait: so only what is far beyond use is refused.
+A prediction is off by a factor of 2.5 for one job, and by less for the sum of
+many. A caller who is refused without need loses the whole job, a caller who is
+accepted in vain loses only a wait. So a job is refused only if it would end
+long after it is of use.
 """
 
 from collections import deque
@@ -17,32 +17,34 @@
 
 from pimentocross.placement.urgency import LATE_FACTOR
 
-# A job is refused if it is foreseen to be done only after so many times the
-# time up to which it earns its caller anything.
+# A job is refused if it is predicted to end after this multiple of the time for
+# which it is of use to its caller.
 REFUSAL_FACTOR: Final = 2.0
-# Bounds of the time after which a refused caller may come back, seconds: who
-# is told less would ask in vain, and nothing is foreseen for longer.
+# Bounds of the time after which a refused caller may retry: an earlier retry
+# would be refused again, and predictions don't reach further.
 MIN_RETRY_SECONDS: Final = 1.0
 MAX_RETRY_SECONDS: Final = 30.0
-# Callers come back over so much more than the backlog is foreseen to take.
+# Retries are spread over this share of the predicted drain time, added to it.
 _RETRY_SPREAD: Final = 1.0
-# A rate is taken over the last seconds, and believed after so many ends.
-_RATE_OVER: Final = 3.0
-_ENDS_LEAST: Final = 20
-# Room that was there within so many seconds counts as there: workers that
-# can't be reached for a moment and zones that are emptied come back.
-_ROOM_REMEMBERED: Final = 10.0
+# Time constant in seconds of the completion rate, and the ended tasks needed
+# before it is used.
+_RATE_TIME_CONSTANT: Final = 3.0
+_MIN_ENDED_TASKS: Final = 20
+# The greatest capacity within this many seconds counts as present: workers that
+# are briefly unreachable and zones that are evacuated come back.
+_CAPACITY_MAX_AGE: Final = 10.0
 
 
 class Load(NamedTuple):
-    """What a job would wait for; seconds, cores and core-seconds.
+    """A new job, the backlog ahead of it and the capacity for both.
 
     Attributes:
-        ahead: What waits for the same room and goes first.
-        room: What such work has, in use or free.
-        work: The job's own.
-        chain: Its longest chain.
-        objective: Within this it is in time.
+        ahead: Work that waits for the same capacity and is started first,
+            core-seconds.
+        room: Capacity for such work, in use or free, cores.
+        work: Work of the job, core-seconds.
+        chain: Duration of the job's critical path, seconds.
+        objective: Time within which the job is in time, seconds.
     """
 
     ahead: float
@@ -53,24 +55,25 @@
 
     @property
     def wait(self) -> float:
-        """Seconds until the job could begin."""
+        """Seconds until the job can start."""
         return self.ahead / self.room
 
     @property
     def own(self) -> float:
-        """Seconds that it would take with all the room."""
+        """Seconds that the job takes if it has the whole capacity."""
         return max(self.chain, self.work / self.room)
 
     @property
     def use(self) -> float:
-        """Seconds up to which it earns its caller something."""
+        """Seconds for which the job is of any use to its caller."""
         return LATE_FACTOR * self.objective
 
 
 def is_too_late(load: Load) -> bool:
-    """Returns whether a job would surely be done too late to be of use.
+    """Returns whether a job would surely end too late to be of use.
 
-    One that would be too late with nothing ahead isn't the backlog's matter.
+    False for a job that would be too late without any backlog, as the backlog
+    is not the cause.
     """
     if load.room <= 0 or load.objective <= 0 or load.own > load.use:
         return False
@@ -78,58 +81,64 @@
 
 
 def retry_after(load: Load, name: str) -> float:
-    """Returns when a refused caller should come back, in seconds.
+    """Returns after how many seconds a refused caller should retry.
 
-    The backlog is foreseen to have drained by then so far that its job would be
-    in time. Callers are spread by their job's name.
+    By then, the backlog is predicted to have drained so far that the job would
+    be in time. A hash of the job's name spreads the retries of callers.
+
+    Args:
+        load: The refused job and the backlog.
+        name: Name of the job.
     """
     drained = load.wait - max(load.objective - load.own, 0.0)
-    draw = zlib.crc32(name.encode()) / 2**32
-    seconds = drained * (1 + _RETRY_SPREAD * draw)
+    fraction = zlib.crc32(name.encode()) / 2**32
+    seconds = drained * (1 + _RETRY_SPREAD * fraction)
     return min(max(seconds, MIN_RETRY_SECONDS), MAX_RETRY_SECONDS)
 
 
 class FinishRate:
-    """Follows how much work of a kind is done a second."""
+    """Measures how much work of one kind is completed per second."""
 
     def __init__(self) -> None:
-        """Has seen none yet."""
+        """Initializes the rate without any completed task."""
         self._sum = 0.0
-        self._at = 0.0
-        self._ends = 0
+        self._updated_at = 0.0
+        self._ended_tasks = 0
 
     def note(self, work: float, now: float) -> None:
-        """Takes in a task that was done, of so many core-seconds."""
-        self._sum = self._faded(now) + work
-        self._at = now
-        self._ends += 1
+        """Records a completed task with its work in core-seconds."""
+        self._sum = self._decayed_sum(now) + work
+        self._updated_at = now
+        self._ended_tasks += 1
 
     def cores(self, now: float) -> float | None:
-        """Returns core-seconds a second, or None if too little was seen."""
-        if self._ends < _ENDS_LEAST:
+        """Returns core-seconds per second, or None after too few tasks."""
+        if self._ended_tasks < _MIN_ENDED_TASKS:
             return None
-        return self._faded(now) / _RATE_OVER
+        return self._decayed_sum(now) / _RATE_TIME_CONSTANT
 
-    def _faded(self, now: float) -> float:
-        return self._sum * math.exp(-max(now - self._at, 0.0) / _RATE_OVER)
+    def _decayed_sum(self, now: float) -> float:
+        return self._sum * math.exp(
+            -max(now - self._updated_at, 0.0) / _RATE_TIME_CONSTANT
+        )
 
 
 class RecentCapacity:
-    """The most room there was in the last seconds."""
+    """The greatest capacity of the last seconds."""
 
     def __init__(self) -> None:
-        """Has seen none yet."""
-        # Each less than the one before it.
-        self._seen: deque[tuple[float, float]] = deque()
+        """Initializes the history without any capacity."""
+        # Pairs of time and cores, in falling order of cores.
+        self._maxima: deque[tuple[float, float]] = deque()
 
     def note(self, cores: float, now: float) -> None:
-        """Takes in how much there is now."""
-        while self._seen and self._seen[-1][1] <= cores:
-            self._seen.pop()
-        self._seen.append((now, cores))
+        """Records the present capacity in cores."""
+        while self._maxima and self._maxima[-1][1] <= cores:
+            self._maxima.pop()
+        self._maxima.append((now, cores))
 
     def most(self, now: float) -> float:
-        """Returns the most, 0 if nothing was seen."""
-        while self._seen and now - self._seen[0][0] > _ROOM_REMEMBERED:
-            self._seen.popleft()
-        return self._seen[0][1] if self._seen else 0.0
+        """Returns the greatest recent capacity in cores, 0 if unknown."""
+        while self._maxima and now - self._maxima[0][0] > _CAPACITY_MAX_AGE:
+            self._maxima.popleft()
+        return self._maxima[0][1] if self._maxima else 0.0
--- a/pimentocross/placement/pacing.py
+++ b/pimentocross/placement/pacing.py
@@ -1,11 +1,16 @@
-"""How fast tasks that fill may work beside tasks that serve.
-
-Load pattern: a task that fills is started beside serving tasks whose response
-times it spoils, by an amount that differs by pair of images and changes within
-seconds. The figure of a serving task is late by half a second and rough. Over
-a share of the target, those that are known to disturb most are slowed just as
-much as is needed; what isn't explained slows all, and stops all once it lasts.
-Speed comes back, the most harmless first, while it is expected to do no harm.
+"""Sets the speed of fillers so that serving tasks meet their targets.
+
+A filler is a run that uses only the processor time that is left over; its pace
+is the percentage of full speed at which it may work.
+
+Load pattern: a filler is started beside serving tasks and raises their response
+times, by an amount that differs by pair of images and changes within seconds.
+The reported tail latency of a serving task lags by half a second and is
+imprecise. Once it exceeds a share of the target, the fillers with the greatest
+known effect are slowed just as much as needed. A rise that known effects don't
+explain slows all fillers, and a target that stays missed stops them. Paces rise
+again, those of the most harmless fillers first, as long as the expected effect
+stays within the target.
 """
 
 from collections.abc import Sequence
@@ -14,38 +19,39 @@
 
 from pimentocross.placement.disturbance import Disturbance
 
-# Shares of the target. The figure is rough by about a tenth: one that is
-# under 0.9 is most likely under the target.
-SLOW_FROM: Final = 0.9
-SLOW_TO: Final = 0.7
-FAST_BELOW: Final = 0.65
-FAST_TO: Final = 0.75
-# What slows all that fills once the target is passed for no known reason.
+# Shares of the target at which paces are cut or raised, and those aimed at. A
+# reading is off by about a tenth: one below 0.9 is most likely on target.
+CUT_FROM_RATIO: Final = 0.9
+CUT_TO_RATIO: Final = 0.7
+RAISE_BELOW_RATIO: Final = 0.65
+RAISE_TO_RATIO: Final = 0.75
+# Factor for all paces once the target is missed without a known cause.
 UNEXPLAINED_FACTOR: Final = 0.3
-# ... after this many seconds: two readings in a row, and well before the 4 s
-# after which users are taken to be harmed.
-UNEXPLAINED_AFTER: Final = 1.2
-# A target missed for this many seconds stops all that fills from working: half
-# of the shortest time after which users count as harmed (4 s), as an order
-# takes 0.1 s to work, the figure half a second to show it, and one may be lost.
+# ... for this many seconds: two readings in a row, and well before the 4 s
+# after which users count as affected.
+UNEXPLAINED_AFTER_SECONDS: Final = 1.2
+# A target missed for this many seconds pauses all fillers. Half of the shortest
+# time after which users count as affected (4 s): an order takes 0.1 s to have
+# an effect, the reading shows it after half a second, and an order may be lost.
 STOP_AFTER_SECONDS: Final = 2.0
-# A filler that may work at no more than this is better off elsewhere.
+# A filler with at most this pace does better on another worker.
 MOVE_MAX_PACE: Final = 30
-# A change of fewer percent is not worth an order.
-LEAST_CHANGE: Final = 5
+# Smaller changes, in percent, are not sent to the worker.
+MIN_PACE_CHANGE: Final = 5
 FULL_PACE: Final = 100
-# A figure covers half a second: changes wait until it shows the last one.
+# Seconds between changes: a reading covers half a second and has to show the
+# effect of the previous change first.
 SETTLING_SECONDS: Final = 0.9
 
 
 class Reading(NamedTuple):
-    """The tails over their targets of the tasks of an image that serves.
+    """Tail latencies of the tasks of a serving image on one worker.
 
     Attributes:
-        image: The image.
-        ratio: The worst.
-        typical: The median.
-        over_for: Seconds for which the worst has been over its target.
+        image: The serving image.
+        ratio: The highest tail latency over its target.
+        median_ratio: The median of tail latency over target.
+        over_for: Seconds for which the highest has exceeded its target.
     """
 
     image: str
@@ -55,12 +61,12 @@
 
 
 class Filler(NamedTuple):
-    """A run that fills.
+    """A run that uses only the processor time that is left over.
 
     Attributes:
-        image: What it runs.
-        share: Of the worker's processors that it asks for.
-        pace: Percent at which it may work.
+        image: Image of its task.
+        share: Share of the worker's processors that it requests.
+        pace: Percentage of full speed at which it may work.
     """
 
     image: str
@@ -73,23 +79,30 @@
     fillers: Sequence[Filler],
     disturbance: Disturbance,
 ) -> list[int]:
-    """Returns the percent at which each filler may work from now on."""
+    """Returns the new pace of each filler, in the order of `fillers`.
+
+    Args:
+        readings: Readings of all serving images on the worker.
+        fillers: Fillers on the worker, with their present paces.
+        disturbance: Known effects of filler images on serving images.
+    """
     if not readings:
         return [FULL_PACE for _ in fillers]
     worst = max(readings, key=lambda reading: reading.ratio)
     if any(reading.over_for >= STOP_AFTER_SECONDS for reading in readings):
         return [0 for _ in fillers]
-    if worst.ratio >= SLOW_FROM:
-        return _slow(worst, fillers, disturbance)
-    if worst.ratio < FAST_BELOW:
-        return _speed_up(worst, readings, fillers, disturbance)
+    if worst.ratio >= CUT_FROM_RATIO:
+        return _cut_paces(worst, fillers, disturbance)
+    if worst.ratio < RAISE_BELOW_RATIO:
+        return _raise_paces(worst, readings, fillers, disturbance)
     return [filler.pace for filler in fillers]
 
 
-def _slow(
+def _cut_paces(
     worst: Reading, fillers: Sequence[Filler], disturbance: Disturbance
 ) -> list[int]:
-    excess = math.log(worst.ratio / SLOW_TO)
+    """Cuts the paces of the fillers with the greatest effect first."""
+    excess = math.log(worst.ratio / CUT_TO_RATIO)
     paces = [filler.pace for filler in fillers]
     effects = [
         disturbance.coefficient(worst.image, f.image) * f.share * f.pace / 100
@@ -101,40 +114,47 @@
         cut = min(excess, effects[index])
         paces[index] = int(paces[index] * (1 - cut / effects[index]))
         excess -= cut
-    if excess > 0 and worst.over_for >= UNEXPLAINED_AFTER:
+    if excess > 0 and worst.over_for >= UNEXPLAINED_AFTER_SECONDS:
         paces = [int(pace * UNEXPLAINED_FACTOR) for pace in paces]
-    return _steady(paces, fillers)
+    return _without_small_changes(paces, fillers)
 
 
-def _speed_up(
+def _raise_paces(
     worst: Reading,
     readings: Sequence[Reading],
     fillers: Sequence[Filler],
     disturbance: Disturbance,
 ) -> list[int]:
-    room = math.log(FAST_TO / max(worst.ratio, 0.1))
+    """Raises the paces of the fillers with the smallest effect first."""
+    headroom = math.log(RAISE_TO_RATIO / max(worst.ratio, 0.1))
     paces = [filler.pace for filler in fillers]
-    weights = [
+    full_effects = [
         max(disturbance.coefficient(r.image, f.image) for r in readings)
         * f.share
         for f in fillers
     ]
-    for index in sorted(range(len(fillers)), key=lambda i: weights[i]):
+    for index in sorted(range(len(fillers)), key=lambda i: full_effects[i]):
         missing = FULL_PACE - paces[index]
         if missing <= 0:
             continue
-        whole = weights[index] * missing / 100
-        share = 1.0 if whole <= room else max(room, 0.0) / whole
+        added_effect = full_effects[index] * missing / 100
+        share = (
+            1.0
+            if added_effect <= headroom
+            else max(headroom, 0.0) / added_effect
+        )
         paces[index] += int(missing * share)
-        room -= whole * share
-    return _steady(paces, fillers)
+        headroom -= added_effect * share
+    return _without_small_changes(paces, fillers)
 
 
-def _steady(paces: list[int], fillers: Sequence[Filler]) -> list[int]:
-    """Leaves paces that would hardly change as they are."""
+def _without_small_changes(
+    paces: list[int], fillers: Sequence[Filler]
+) -> list[int]:
+    """Replaces paces that would hardly change by the present ones."""
     return [
         pace
-        if abs(pace - filler.pace) >= LEAST_CHANGE or pace == FULL_PACE
+        if abs(pace - filler.pace) >= MIN_PACE_CHANGE or pace == FULL_PACE
         else filler.pace
         for pace, filler in zip(paces, fillers, strict=True)
     ]
--- a/pimentocross/placement/probes.py
+++ b/pimentocross/placement/probes.py
@@ -1,15 +1,16 @@
-"""How many workers try a pair of images of which nothing is known yet.
-
-Load pattern: a job of an image that was never seen comes with sixteen tasks.
-Placed at once they fill beside each serving image on several workers, two on
-each, and where the pair disturbs, all of these miss their targets for a second:
-half of the time over target began so on played days. One or two tasks tell as
-much. The others wait for the reading, or go where their image is known.
-
-A pair that was blamed for what another one did is never seen again, so that
-the mistake lasts: on a played day 380 tasks waited beside 500 idle cores. Where
-an image has hardly any room, a pair that seems to disturb on little evidence
-is tried again, by one task at a time.
+"""Limits the trial of pairs of a filler image and a serving image.
+
+Load pattern: a job with a new filler image arrives with sixteen tasks. If all
+are placed at once, they run beside each serving image on several workers, two
+on each, and where the pair disturbs, all these workers miss their targets for a
+second: in simulated days, half of the time over target began like that. One or
+two tasks tell as much. The others wait for the reading, or go to workers on
+which the effect of their image is known.
+
+A pair that was blamed for the effect of another one is never placed again, so
+that the error lasts: in a simulated day, 380 tasks waited while 500 cores were
+idle. If an image has hardly any capacity left, a pair that seems to disturb on
+few readings is tried again with one task at a time.
 """
 
 from collections import Counter
@@ -19,18 +20,19 @@
 from pimentocross.placement.disturbance import Disturbance
 from pimentocross.placement.host import Host
 
-# Workers on which a pair is tried at a time: a second one, as the first may
-# be in trouble of its own.
-WORKERS_MOST: Final = 2
-# A doubtful pair is tried again if room for its image is as scarce as this.
-RETRY_FROM: Final = 0.9
-# Seconds between two such trials of an image: a task's start, two readings,
-# and the time that a target missed by it takes to recover.
+# Workers on which a pair is tried at a time: a second one, as the first may be
+# impaired for another reason.
+MAX_TRIAL_WORKERS: Final = 2
+# Scarcity of capacity for a filler image, 0 to 1, from which on its uncertain
+# pairs are tried again.
+RETRY_MIN_SCARCITY: Final = 0.9
+# Seconds between two such trials of an image: the start of a task, two
+# readings, and the time to recover from a target missed because of it.
 RETRY_INTERVAL: Final = 2.0
 
 
 class Probes:
-    """Pairs that are being tried now."""
+    """Pairs of images that are on trial in a scheduling pass."""
 
     def __init__(
         self,
@@ -38,13 +40,13 @@
         hosts: Iterable[Host] = (),
         retried: Iterable[str] = (),
     ) -> None:
-        """Counts what fills now beside images that it was never seen with.
+        """Counts the workers on which untried pairs run at present.
 
         Args:
-            disturbance: What is known of pairs.
+            disturbance: Learned effects of filler images.
             hosts: Workers in use.
-            retried: Filling images of which a doubtful pair was tried again a
-                moment ago.
+            retried: Filler images with an uncertain pair that was tried again
+                within the last `RETRY_INTERVAL`.
         """
         self._disturbance = disturbance
         self._retried = set(retried)
@@ -54,7 +56,12 @@
                 self._count(filling, host)
 
     def allows(self, filling: str, host: Host) -> bool:
-        """True if one more task may fill on a worker, as far as is known."""
+        """Returns whether trials permit one more filler on a worker.
+
+        Args:
+            filling: Image of the filler.
+            host: The worker.
+        """
         if not host.serving:
             return True
         for serving in host.serving:
@@ -62,37 +69,40 @@
                 continue
             if filling in host.filling:
                 return False
-            if self._workers[(serving, filling)] >= WORKERS_MOST:
+            if self._workers[(serving, filling)] >= MAX_TRIAL_WORKERS:
                 return False
         return True
 
     def is_on_trial(self, serving: str, filling: str) -> bool:
-        """True if a pair is being tried on as many workers as it may be."""
+        """Returns whether a pair is on trial on the maximum of workers."""
         if not self._disturbance.is_untried(serving, filling):
             return False
-        return self._workers[(serving, filling)] >= WORKERS_MOST
+        return self._workers[(serving, filling)] >= MAX_TRIAL_WORKERS
 
     def is_retry_due(self, filling: str, scarcity: float) -> bool:
-        """True if a doubtful pair of an image may be tried again now.
+        """Returns whether an uncertain pair of an image may be tried again.
 
         Args:
-            filling: The image.
-            scarcity: How scarce room is for it, 0 to 1.
+            filling: The filler image.
+            scarcity: Scarcity of capacity for the image, 0 to 1.
         """
-        return scarcity >= RETRY_FROM and filling not in self._retried
+        return scarcity >= RETRY_MIN_SCARCITY and filling not in self._retried
 
     def may_retry(self, filling: str, host: Host, scarcity: float) -> bool:
-        """True if all that speaks against a worker is doubtful.
+        """Returns whether a filler may be placed to try uncertain pairs again.
+
+        True only if every disturbing pair on the worker is uncertain.
 
         Args:
-            filling: Image of the task that would fill.
+            filling: Image of the filler.
             host: The worker.
-            scarcity: How scarce room is for the image, 0 to 1.
+            scarcity: Scarcity of capacity for the image, 0 to 1.
         """
         if not self.is_retry_due(filling, scarcity):
             return False
         if host.filling:
-            # What is read has to speak of this pair alone.
+            # Beside other fillers, a reading would not tell the effect of this
+            # pair.
             return False
         return all(
             self._disturbance.is_uncertain(serving, filling)
@@ -101,7 +111,7 @@
         )
 
     def note(self, filling: str, host: Host) -> bool:
-        """Notes a task that is about to fill; True if it is a new trial."""
+        """Records a filler about to start; returns whether it is a retrial."""
         self._count(filling, host)
         if any(self._disturbance.disturbs(i, filling) for i in host.serving):
             self._retried.add(filling)
@@ -109,7 +119,7 @@
         return False
 
     def _count(self, filling: str, host: Host) -> None:
-        """Counts a worker for each untried pair of an image on it."""
+        """Counts a worker for each untried pair of a filler image there."""
         for serving in host.serving:
             if self._disturbance.is_untried(serving, filling):
                 self._workers[(serving, filling)] += 1
--- a/pimentocross/placement/quarantine.py
+++ b/pimentocross/placement/quarantine.py
@@ -12,8 +12,8 @@
 from pimentocross.placement import const
 
 _JOBS_REMEMBERED = 10_000
-# A task that fails on this many workers is at fault itself, and so is a job that
-# fails on as many while hardly any of its tasks succeed.
+# A task that fails on this many workers is at fault itself, and so is a job
+# that fails on as many while hardly any of its tasks succeed.
 _WORKERS_TO_BLAME_JOB = 2
 
 
--- a/pimentocross/placement/soundness.py
+++ b/pimentocross/placement/soundness.py
@@ -28,7 +28,7 @@
 # The speed of a run is measured from this age on.
 MIN_MEASURED_SECONDS: Final = 0.7
 # On a healthy worker, single serving images exceed their targets by chance now
-# and then. If all of them exceed their targets by this factor, the worker is the
+# and then. If all of them exceed theirs by this factor, the worker is the
 # cause.
 IMPAIRED_RATIO: Final = 1.5
 # ... if this lasts for so many seconds, which is three readings, and fillers
@@ -183,8 +183,8 @@
 def may_evict_task(step: Step) -> bool:
     """Returns whether one more task of a lasting step may be evicted.
 
-    The step bounds how many of its tasks the scheduler may have stopped or not
-    yet started elsewhere at a time.
+    `away_most` bounds how many tasks of the step may be absent because of the
+    scheduler at a time.
     """
     limit = step.spec.away_most
     if limit is None:
--- a/pimentocross/placement/tails.py
+++ b/pimentocross/placement/tails.py
@@ -1,76 +1,81 @@
-"""How far some of many durations exceed the usual.
+"""Measures the upper tail of a distribution of durations.
 
-Load pattern: most tasks of a queue take about as long, and a few several times
-as long: all of a step, or single ones. A mean and a spread tell nothing of
-those few.
+Load pattern: most tasks of a queue take about equally long, and a few take
+several times as long: all tasks of a step, or single ones. Mean and variance
+say nothing about those few, so a histogram is kept.
 """
 
 import math
 from typing import Final
 
-# A bin is half an octave wide: durations of one queue spread by more.
-_BINS_AN_OCTAVE: Final = 2
-# Ratios from a quarter to 32 times the usual.
-_LOWEST: Final = -2 * _BINS_AN_OCTAVE
-_BINS: Final = 7 * _BINS_AN_OCTAVE + 1
-# The least share that makes a tail: failures and slow workers make a few in a
-# thousand take long.
-_SHARE_LEAST: Final = 0.01
-# What is this many times over the usual belongs to the tail: ordinary durations
-# spread by less.
+# Histogram bins per doubling of the ratio: durations of one queue vary by more
+# than a bin is wide.
+_BINS_PER_DOUBLING: Final = 2
+# The bins cover ratios from 1/4 to 32.
+_LOWEST_BIN: Final = -2 * _BINS_PER_DOUBLING
+_BINS: Final = 7 * _BINS_PER_DOUBLING + 1
+# Minimum share of long durations that counts as a tail: failures and slow
+# workers alone make a few in a thousand long.
+_MIN_TAIL_SHARE: Final = 0.01
+# From this ratio on, a duration belongs to the tail: ordinary durations vary by
+# less.
 TAIL_FROM: Final = 4.0
-# Weights are brought down to 1 again from here on.
-_WEIGHT_MOST: Final = 1e6
+# All weights are rescaled once the current weight exceeds this.
+_MAX_WEIGHT: Final = 1e6
 
 
 class Tail:
-    """Ratios of durations to the usual one, as a decayed histogram.
+    """Decaying histogram of the ratios of durations to a usual duration.
 
     Attributes:
-        is_seen: Whether enough is known, and enough of it takes long.
+        is_detected: Whether there are enough ratios, and enough of them are
+            long to count as a tail.
     """
 
-    def __init__(self, least: int, remembered: int) -> None:
-        """Has seen nothing yet.
+    def __init__(self, min_count: int, remembered: int) -> None:
+        """Initializes an empty histogram.
 
         Args:
-            least: Ratios before a tail is believed.
-            remembered: About so many ratios count.
+            min_count: Number of ratios needed before a tail is detected.
+            remembered: Approximate number of latest ratios that count.
         """
-        self._least = least
-        self._kept = 1 - 1 / remembered
+        self._min_count = min_count
+        self._decay = 1 - 1 / remembered
         self._bins = [0.0] * _BINS
         self._weight = 1.0
-        self._noted = 0
-        self.is_seen = False
+        self._count = 0
+        self.is_detected = False
 
     def note(self, ratio: float) -> None:
-        """Takes in a ratio."""
-        # A later ratio weighs more, which spares touching all bins.
-        self._weight /= self._kept
+        """Records a ratio."""
+        # Raising the weight of new ratios decays older ones without updating
+        # all bins.
+        self._weight /= self._decay
         self._bins[_bin_of(ratio)] += self._weight
-        if self._weight > _WEIGHT_MOST:
+        if self._weight > _MAX_WEIGHT:
             self._bins = [count / self._weight for count in self._bins]
             self._weight = 1.0
-        self._noted += 1
-        enough = self._noted >= self._least
-        self.is_seen = enough and self.share_over(TAIL_FROM) >= _SHARE_LEAST
+        self._count += 1
+        enough = self._count >= self._min_count
+        self.is_detected = (
+            enough and self.share_over(TAIL_FROM) >= _MIN_TAIL_SHARE
+        )
 
-    def share_over(self, ratio: float, lived: float = 0.0) -> float:
-        """Returns the share over a ratio, of those over another.
+    def share_over(self, ratio: float, lower_limit: float = 0.0) -> float:
+        """Returns the share of ratios above a limit among those above another.
 
         Args:
-            ratio: The ratio.
-            lived: The other.
+            ratio: The limit.
+            lower_limit: Lower limit of the ratios that count at all.
         """
-        beyond = sum(self._bins[_bin_of(lived) :])
-        if beyond <= 0:
+        total = sum(self._bins[_bin_of(lower_limit) :])
+        if total <= 0:
             return 0.0
-        over = sum(self._bins[_bin_of(max(ratio, lived)) :])
-        return over / beyond
+        over = sum(self._bins[_bin_of(max(ratio, lower_limit)) :])
+        return over / total
 
 
 def _bin_of(ratio: float) -> int:
     exponent = math.log2(max(ratio, 1e-3))
-    number = math.floor(exponent * _BINS_AN_OCTAVE) - _LOWEST
+    number = math.floor(exponent * _BINS_PER_DOUBLING) - _LOWEST_BIN
     return min(max(number, 0), _BINS - 1)
--- a/pimentocross/placement/triage.py
+++ b/pimentocross/placement/triage.py
@@ -1,15 +1,15 @@
-"""Which jobs go first while the work that waits can't all be in time.
+"""Orders waiting jobs under overload, when not all can be in time.
 
-Load pattern: for some seconds more work comes than the room carries (a burst
-of one queue, a part of the workers lost). In the usual order, by the time to
-spare, each job becomes a little late; if a few that take much are put back,
+Load pattern: for some seconds, more work arrives than the capacity can process
+(a burst of one queue, or a part of the workers lost). In the usual order, by
+spare time, each job becomes a little late; if a few large jobs are put back,
 many others are in time.
 
-Work is short of room once jobs that can be in time with a comfortable margin
-can't all begin within it: taken by the time at which each has to begin, the
-work of those up to one exceeds what the room does by then. Then such jobs go
-by the work that they take for what they are worth, the least first. What has
-begun goes on, what is late comes after as ever, and nobody is put back behind
+A priority is overloaded once the jobs that can be in time with a comfortable
+margin can't all start early enough: sorted by latest start, the work of the
+jobs up to one of them exceeds what the capacity processes until that start.
+Such jobs are then ordered by work over value, the lowest ratio first. Started
+jobs go on, late jobs keep their place after them, and no job is put back behind
 a lower priority.
 """
 
@@ -20,25 +20,25 @@
 
 from pimentocross.placement.urgency import DeadlineClass, Urgency
 
-# A job counts so much for the caller that is served, whatever its size, and
-# the rest for its work against the mean of its queue.
+# Share of a job's value that is independent of its size, as one caller is
+# served; the rest is proportional to its work over the mean of its queue.
 _CALLER_SHARE: Final = 0.3
-# A job with this many times the mean work of its queue is large: about the
-# largest tenth.
-_LARGE: Final = 1.8
-# Every so many large jobs one goes as if it had the mean work: else none would
-# be served while a burst lasts, and callers with large jobs count as well.
-_LOTS: Final = 2
+# From this multiple of the mean work of its queue on, a job is large: about the
+# largest tenth of all jobs.
+_LARGE_JOB_RATIO: Final = 1.8
+# One in so many large jobs is treated as if it had the mean work: otherwise no
+# large job, and no caller of one, would be served during a burst.
+_EXEMPT_ONE_IN: Final = 2
 
 
 class Order(NamedTuple):
-    """Sorts work: the lowest first.
+    """Sort key of waiting work, the lowest first.
 
     Attributes:
-        priority: The queue's.
-        chance: What can still be earned.
-        burden: Work for its worth where room is short, else 0.
-        spare: Seconds that the job could still wait.
+        priority: Priority of the queue.
+        chance: Whether the job can still meet its objective.
+        cost_ratio: Work over value if the priority is overloaded, else 0.
+        spare: Seconds that the job can still wait.
     """
 
     priority: int
@@ -48,17 +48,17 @@
 
     @property
     def is_put_back(self) -> bool:
-        """True if it takes more for its worth than the mean of its queue."""
+        """Whether its work over value exceeds that of its queue's mean job."""
         return self.cost_ratio > 1.0
 
 
 class WaitingJob(NamedTuple):
-    """What is left to start of a job.
+    """The part of a job that is still to be started.
 
     Attributes:
-        rank: Its urgency in the usual order.
-        work: Core-seconds.
-        margin: Seconds that it should have to spare when it begins.
+        rank: Urgency of the job in the usual order.
+        work: Work to be started, core-seconds.
+        margin: Spare time that the job should have when it starts, seconds.
     """
 
     rank: Urgency
@@ -67,64 +67,69 @@
 
 
 def order_of(rank: Urgency, cost_ratio: float = 0.0) -> Order:
-    """Returns where a job goes; without a burden that is the usual order."""
+    """Returns the sort key of a job; without a cost ratio, the usual order."""
     return Order(rank.priority, rank.chance, cost_ratio, rank.spare)
 
 
 def cost_ratio(name: str, relative_work: float) -> float:
-    """Returns the work that a job takes for what it is worth; the mean is 1.
+    """Returns the work of a job over its value, 1 for the mean job.
 
-    Large jobs are exempt by a lot that their name draws: that needs no memory,
-    so the next owner decides alike.
+    A hash of the name decides which large jobs are exempt. That needs no stored
+    state, and the next owner decides the same.
 
     Args:
-        name: The job's.
-        relative_work: Its work over the mean of its queue.
+        name: Name of the job.
+        relative_work: Work of the job over the mean of its queue.
     """
-    if relative_work >= _LARGE and not zlib.crc32(name.encode()) % _LOTS:
+    if (
+        relative_work >= _LARGE_JOB_RATIO
+        and not zlib.crc32(name.encode()) % _EXEMPT_ONE_IN
+    ):
         return 1.0
-    worth = _CALLER_SHARE + (1 - _CALLER_SHARE) * relative_work
-    return relative_work / worth
+    value = _CALLER_SHARE + (1 - _CALLER_SHARE) * relative_work
+    return relative_work / value
 
 
 def overloaded_priorities(
-    waiting: Iterable[WaitingJob], room: float
+    waiting: Iterable[WaitingJob], cores: float
 ) -> set[int]:
-    """Returns the priorities whose jobs can't all be in time.
+    """Returns the priorities whose jobs can't all start in time.
 
     Args:
-        waiting: What waits for the same room.
-        room: Cores that such work has, in use or free.
+        waiting: Jobs that wait for the same capacity.
+        cores: Cores of this capacity, in use or free.
     """
-    short = set()
-    ahead = 0.0
+    overloaded = set()
+    work_ahead = 0.0
     by_priority = sorted(waiting, key=lambda job: job.rank.priority)
     groups = itertools.groupby(by_priority, lambda job: job.rank.priority)
     for priority, group in groups:
         jobs = list(group)
-        if _is_short(jobs, ahead, room):
-            short.add(priority)
-        ahead += sum(job.work for job in jobs)
-    return short
+        if _is_overloaded(jobs, work_ahead, cores):
+            overloaded.add(priority)
+        work_ahead += sum(job.work for job in jobs)
+    return overloaded
 
 
-def _is_short(jobs: Iterable[WaitingJob], ahead: float, room: float) -> bool:
-    """Returns whether jobs of one priority can't all begin in time.
+def _is_overloaded(
+    jobs: Iterable[WaitingJob], work_ahead: float, cores: float
+) -> bool:
+    """Returns whether jobs of one priority can't all start in time.
 
     Args:
         jobs: The jobs.
-        ahead: Core-seconds that go before all of them.
-        room: Cores.
+        work_ahead: Core-seconds that are started before all of them.
+        cores: Cores in use or free.
     """
-    due = []
+    latest_starts = []
     for job in jobs:
         if job.rank.chance is DeadlineClass.BEGUN:
-            ahead += job.work
+            work_ahead += job.work
         elif job.rank.chance is DeadlineClass.COMFORTABLE:
-            due.append((job.rank.spare - job.margin, job.work))
-    for begin, work in sorted(due):
-        # What has begun ends meanwhile: only what waits is ahead.
-        if ahead > room * begin:
+            latest_starts.append((job.rank.spare - job.margin, job.work))
+    for latest_start, work in sorted(latest_starts):
+        # Running tasks end meanwhile: only waiting work counts as ahead.
+        if work_ahead > cores * latest_start:
             return True
-        ahead += work
+        work_ahead += work
     return False
--- a/pimentocross/placement/urgency.py
+++ b/pimentocross/placement/urgency.py
@@ -1,15 +1,16 @@
-"""In which order work that waits is started.
+"""Ranks waiting steps by how urgent it is to start them.
 
-Load pattern: more work arrives than the workers carry (a burst of one queue,
-workers lost), while short urgent jobs and long ones wait beside each other.
-A job earns in full until its objective, a little until three times that, and
-nothing later. Ordered by the time to spare alone, an overloaded system starts
-every job at the last moment, and a small error makes each of them late. So:
+Load pattern: more work arrives than the workers can process (a burst of one
+queue, or workers lost), while short urgent jobs and long jobs wait together. A
+job has its full value until its objective, a small value until three times the
+objective, and none later. If jobs are ordered by spare time alone, an
+overloaded system starts every job at the last moment, and a small error makes
+each of them late. So the order is:
 
-1. jobs that have begun and can be in time, as their work is lost otherwise;
-2. jobs with a comfortable time to spare, the least first;
+1. started jobs that can be in time, as their work is lost otherwise;
+2. jobs with a comfortable spare time, the least first;
 3. jobs that are in time only if nothing goes wrong;
-4. jobs that are late, begun ones first; then those that earn nothing more.
+4. late jobs, started ones first; then those that have no value any more.
 """
 
 from enum import IntEnum
@@ -18,15 +19,15 @@
 from pimentocross.placement.durations import Durations
 from pimentocross.work.state import Job, JobState, Step
 
-# A job earns a little until this many times its objective.
+# A late job keeps a small value until this multiple of its objective.
 LATE_FACTOR: Final = 3.0
-# Share of the objective that a job should have to spare when it begins:
-# estimates of its chain are off by about this much.
+# Spare time that a job should have when it starts, as a share of its objective:
+# predictions of its critical path are off by about this much.
 MARGIN: Final = 0.25
 
 
 class DeadlineClass(IntEnum):
-    """What can still be earned, and how surely."""
+    """Whether a job can still meet its objective, most urgent first."""
 
     BEGUN = 0
     COMFORTABLE = 1
@@ -37,12 +38,13 @@
 
 
 class Urgency(NamedTuple):
-    """Sorts work: the lowest first.
+    """Sort key of waiting steps, the lowest first.
 
     Attributes:
-        priority: The queue's.
-        chance: What can still be earned.
-        spare: Seconds that the job could still wait.
+        priority: Priority of the queue.
+        chance: Whether the job can still meet its objective.
+        spare: Seconds that the job can still wait until it misses the
+            objective or, for a late job, has no value any more.
     """
 
     priority: int
@@ -54,34 +56,39 @@
     """Returns how urgent a step is.
 
     Args:
-        step: A step whose turn has come.
-        durations: What is known of durations.
-        wall: Seconds since 1970.
+        step: A step that is ready to start.
+        durations: Predicted durations.
+        wall: Present time, seconds since 1970.
     """
     job = step.job
     if step.spec.lasting:
         return Urgency(job.queue.priority, DeadlineClass.BEGUN, 0.0)
-    aim = objective(step, durations)
+    time_limit = objective(step, durations)
     waited = wall - max(job.accepted_at, step.occurrence.due)
-    left = durations.remaining_critical_path(step.occurrence)
-    spare = aim - waited - left
+    remaining = durations.remaining_critical_path(step.occurrence)
+    spare = time_limit - waited - remaining
     if spare >= 0:
-        chance = _chance_in_time(job, spare, aim)
+        chance = _class_if_in_time(job, spare, time_limit)
         return Urgency(job.queue.priority, chance, spare)
-    late_spare = LATE_FACTOR * aim - waited - left
+    late_spare = LATE_FACTOR * time_limit - waited - remaining
     return Urgency(
-        job.queue.priority, _chance_late(job, late_spare), late_spare
+        job.queue.priority, _class_if_late(job, late_spare), late_spare
     )
 
 
 def objective(step: Step, durations: Durations) -> float:
-    """Returns within how many seconds a step's job is in time."""
+    """Returns the objective of a step's job in seconds.
+
+    A job that ends within this time after it was accepted or due is in time.
+    """
     queue = step.job.queue
     critical_path = durations.critical_path(step.occurrence)
     return queue.slack * critical_path + queue.target_latency
 
 
-def _chance_in_time(job: Job, spare: float, objective: float) -> DeadlineClass:
+def _class_if_in_time(
+    job: Job, spare: float, objective: float
+) -> DeadlineClass:
     if job.state is JobState.RUNNING:
         return DeadlineClass.BEGUN
     if spare >= MARGIN * objective:
@@ -89,7 +96,7 @@
     return DeadlineClass.TIGHT
 
 
-def _chance_late(job: Job, late_spare: float) -> DeadlineClass:
+def _class_if_late(job: Job, late_spare: float) -> DeadlineClass:
     if late_spare < 0:
         return DeadlineClass.HOPELESS
     if job.state is JobState.RUNNING:
--- a/tests/test_placement_under_load.py
+++ b/tests/test_placement_under_load.py
@@ -24,7 +24,7 @@
     is_sick,
     may_evict_task,
 )
-from pimentocross.placement.stalls import STALL_AFTER, is_stalled
+from pimentocross.placement.stalls import STALL_AFTER_SECONDS, is_stalled
 from pimentocross.placement.urgency import DeadlineClass, urgency
 from pimentocross.work.spec import JobSpec, Size, StepSpec
 from pimentocross.work.state import Job, Run, RunState, Step
@@ -447,5 +447,5 @@
     run.enter(RunState.RUNNING, 10.0)
     run.began_at = 10.0
     run.percent, run.percent_at = 40, 12.0
-    assert not is_stalled(task, run, heard_at=12.0 + STALL_AFTER - 0.1)
-    assert is_stalled(task, run, heard_at=12.0 + STALL_AFTER + 0.1)
+    assert not is_stalled(task, run, listed_at=12.0 + STALL_AFTER_SECONDS - 0.1)
+    assert is_stalled(task, run, listed_at=12.0 + STALL_AFTER_SECONDS + 0.1)
