--- a/tests/pass_fixtures.py
+++ b/tests/pass_fixtures.py
@@ -1,4 +1,4 @@
-"""Fixtures of passes of decisions: workers and orders without calls."""
+"""Fixtures for scheduling passes: workers and orders without remote calls."""
 
 from collections.abc import Iterable, Iterator, Sequence
 from typing import cast
@@ -17,72 +17,72 @@
 from tests.owner_fixtures import CONFIG, QUEUE, make_hall
 
 
-class KeptOrders:
-    """Keeps what is to be started, stopped and paced."""
+class RecordedOrders:
+    """Records the orders of the dispatcher instead of sending them."""
 
     def __init__(self) -> None:
-        """Has kept nothing yet."""
+        """Initializes the records of orders, all empty."""
         self.started: list[Placement] = []
         self.stopped: list[tuple[Worker, Task, Run]] = []
         self.paced: list[tuple[Worker, Task, int]] = []
 
     def start(self, placements: Sequence[Placement], batch: Batch) -> None:
-        """Takes what is to be started."""
+        """Records tasks to start."""
         self.started.extend(placements)
 
     def stop(self, worker: Worker, task: Task, run: Run, reason: str) -> None:
-        """Takes what is to be stopped."""
+        """Records a run to stop and marks it as stopping."""
         run.state = RunState.STOPPING
         self.stopped.append((worker, task, run))
 
     def pace(self, worker: Worker, task: Task, run: Run, percent: int) -> None:
-        """Takes what is to be paced."""
+        """Records the new pace of a run."""
         self.paced.append((worker, task, percent))
 
 
-class PassCell:
-    """A dispatcher, what it decides on, and what it ordered."""
+class DispatcherHarness:
+    """A dispatcher with its jobs, its workers and its recorded orders."""
 
     def __init__(self, workers: Iterable[Worker]) -> None:
-        """Takes the workers."""
+        """Initializes a dispatcher without jobs on these workers."""
         self.workers = list(workers)
         ledger = Ledger(StoreStandin().client("a"), "jobs", "owner", 1)
         self.book = JobBook(ledger, 150.0)
         self.learned = Learned()
-        self.kept = KeptOrders()
+        self.recorded = RecordedOrders()
         self.dispatcher = Dispatcher(
             self.book,
-            cast(Roster, _Listed(self.workers)),
+            cast(Roster, _RosterStub(self.workers)),
             self.learned,
             lambda: CONFIG,
             None,
         )
 
     async def run(self) -> None:
-        """Passes for ever."""
-        await self.dispatcher.run(cast(Orders, self.kept))
+        """Runs scheduling passes until cancelled."""
+        await self.dispatcher.run(cast(Orders, self.recorded))
 
 
-class _Listed:
-    """Workers of a roster."""
+class _RosterStub:
+    """A roster stub with a fixed list of workers, all in contact."""
 
     def __init__(self, workers: Sequence[Worker]) -> None:
         self._workers = workers
 
     def workers(self) -> Iterator[Worker]:
-        """Yields the workers."""
+        """Yields all workers."""
         yield from self._workers
 
     def runs_away(self) -> Iterator[tuple[Task, Run]]:
-        """Yields none: all are heard."""
+        """Yields no runs: no worker is out of contact."""
         yield from ()
 
     def closed_capacity(self) -> int:
-        """Returns 0: every zone is open."""
+        """Returns 0, as no zone is evacuated."""
         return 0
 
     def usable(self) -> list[Worker]:
-        """Returns those to which new runs may be sent."""
+        """Returns the workers to which new runs may be sent."""
         return [worker for worker in self._workers if worker.usable]
 
 
@@ -94,12 +94,18 @@
 
 
 def make_step(name: str, spec: StepSpec) -> Step:
-    """Returns the step of a job."""
+    """Returns the only step of a new job."""
     return Job(name, QUEUE, JobSpec("", (spec,)), 0.0).occurrences[0].steps[0]
 
 
-def put_to_work(worker: Worker, step: Step, figure: int = 20) -> None:
-    """Has all tasks of a step run on a worker."""
+def add_running_tasks(worker: Worker, step: Step, figure: int = 20) -> None:
+    """Adds a running run of each task of a step to a worker.
+
+    Args:
+        worker: The worker.
+        step: The step.
+        figure: Figure that the worker has reported for each run.
+    """
     for task in step.tasks:
         run = Run(1, worker.number)
         run.state, run.percent, run.figure = RunState.RUNNING, 100, figure
--- a/tests/test_failing_workers.py
+++ b/tests/test_failing_workers.py
@@ -31,7 +31,7 @@
     running,
     spec,
 )
-from tests.pass_fixtures import make_step, make_worker, put_to_work
+from tests.pass_fixtures import add_running_tasks, make_step, make_worker
 
 _WORKERS = 60
 _FAILING = 9
@@ -77,7 +77,7 @@
     step = StepSpec(1, _SIZE, lasting=True)
     task = make_step("watch", step).tasks[0]
     worker = make_worker(life(7), 7)
-    put_to_work(worker, task.step)
+    add_running_tasks(worker, task.step)
     apply_ending(task, Ending(1, task.name, 1, EndKind.FAILED, ""), worker)
     assert task.waiting
     assert task.failed_on == {7}
--- a/tests/test_field.py
+++ b/tests/test_field.py
@@ -29,7 +29,12 @@
 from pimentocross.work.state import Destination, RunState, Task
 from tests import run_virtual
 from tests.owner_fixtures import QUEUE, life
-from tests.pass_fixtures import PassCell, make_step, make_worker, put_to_work
+from tests.pass_fixtures import (
+    DispatcherHarness,
+    add_running_tasks,
+    make_step,
+    make_worker,
+)
 
 _DAYS = 40
 _ROUNDS = 14
@@ -81,7 +86,7 @@
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
         count = self.random.randint(4, 24)
-        self.cell = PassCell(map(self._worker, range(count)))
+        self.cell = DispatcherHarness(map(self._worker, range(count)))
         self.jobs = 0
 
     def _worker(self, number: int) -> Worker:
@@ -147,14 +152,14 @@
     def work(self) -> None:
         """Has what was ordered happen, and some runs end."""
         draw, cell, now = self.random, self.cell, trio.current_time()
-        for _, run, _, _ in cell.kept.started:
+        for _, run, _, _ in cell.recorded.started:
             run.enter(RunState.RUNNING, now)
             run.began_at = now
-        cell.kept.started.clear()
-        for worker, task, run in cell.kept.stopped:
+        cell.recorded.started.clear()
+        for worker, task, run in cell.recorded.stopped:
             worker.remove(task, run.number)
             task.drop_run(run.number)
-        cell.kept.stopped.clear()
+        cell.recorded.stopped.clear()
         for worker in cell.workers:
             for (task, number), run in list(worker.runs.items()):
                 spec = task.step.spec
@@ -206,7 +211,7 @@
 
 def test_a_worker_on_probation_gets_one_task_of_a_step() -> None:
     async def place() -> None:
-        cell = PassCell([make_worker(life(0), 0)])
+        cell = DispatcherHarness([make_worker(life(0), 0)])
         worker, learned = cell.workers[0], cell.learned
         for job in ("a", "b"):
             learned.quarantine.note_failed(worker.life.id, job, 0.0)
@@ -236,9 +241,9 @@
         filling = StepSpec(1, Size(500, 500, 0), fills=True, image="f")
         for worker in workers:
             step = make_step(f"s{worker.number}", serving._replace(image="s1"))
-            put_to_work(worker, step)
+            add_running_tasks(worker, step)
         for worker in workers[1:]:
-            put_to_work(worker, make_step(f"f{worker.number}", filling))
+            add_running_tasks(worker, make_step(f"f{worker.number}", filling))
         compatibility = Compatibility(["f"], disturbance)
         view = View(
             disturbance,
@@ -248,7 +253,9 @@
         field = Field(workers, view)
         other = make_step("g", filling._replace(image="g"))
         assert field.choose(other.tasks[0]) is not None
-        put_to_work(workers[0], make_step("new", serving._replace(image="s2")))
+        add_running_tasks(
+            workers[0], make_step("new", serving._replace(image="s2"))
+        )
         field.note_changed(workers[0])
         task = make_step("f", filling).tasks[0]
         assert hosts.choose(task, workers, view) is workers[0]
--- a/tests/test_pass_cost.py
+++ b/tests/test_pass_cost.py
@@ -21,7 +21,12 @@
 from pimentocross.work.spec import JobSpec, Size, StepSpec
 from tests import run_virtual
 from tests.owner_fixtures import QUEUE, life
-from tests.pass_fixtures import PassCell, make_step, make_worker, put_to_work
+from tests.pass_fixtures import (
+    DispatcherHarness,
+    add_running_tasks,
+    make_step,
+    make_worker,
+)
 
 _CAPACITY = Size(32_000, 128_000, 0)
 _SERVING = StepSpec(
@@ -57,7 +62,7 @@
     spec = _SERVING._replace(
         width=2, image=f"serve{number % 2}", size=Size(6_000, 9_000, 0)
     )
-    put_to_work(worker, make_step(f"old{number}", spec))
+    add_running_tasks(worker, make_step(f"old{number}", spec))
     return worker
 
 
@@ -77,7 +82,7 @@
 
 async def _pass_over(workers: int, parts: int) -> int:
     """Has what waits placed; returns how many calls it took."""
-    cell = PassCell(map(_worker, range(workers)))
+    cell = DispatcherHarness(map(_worker, range(workers)))
     # All pairs are known: else few tasks fill before the first readings.
     for _ in range(9):
         for n in range(4):
@@ -91,7 +96,7 @@
             await cell.run()
         finally:
             sys.setprofile(None)
-    assert len(cell.kept.started) == tasks, len(cell.kept.started)
+    assert len(cell.recorded.started) == tasks, len(cell.recorded.started)
     return counter.calls
 
 
@@ -118,11 +123,11 @@
 
 async def _pace_in_short_passes() -> None:
     workers = list(map(_worker, range(50)))
-    cell = PassCell(workers)
+    cell = DispatcherHarness(workers)
     for worker in workers:
         spec = _FILLING._replace(width=2, image="fill0")
         filling = make_step(f"fill{worker.number}", spec)
-        put_to_work(worker, filling, figure=1_000)
+        add_running_tasks(worker, filling, figure=1_000)
     passes = 0
     with mock.patch.object(care, "next_paces", wraps=next_paces) as paces:
         async with trio.open_nursery() as nursery:
--- a/tests/test_placement_under_load.py
+++ b/tests/test_placement_under_load.py
@@ -1,4 +1,4 @@
-"""Decisions at worst load, each against the load pattern that it answers."""
+"""Placement and pacing under high load, one test for each load pattern."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -32,7 +32,7 @@
 
 
 class _Host:
-    """A worker with given tasks."""
+    """A host stub with a given processor time of tasks by image."""
 
     def __init__(
         self,
@@ -72,10 +72,15 @@
     return StepSpec(1, Size(cpu, 1000, 0), 1.0, image=image, fills=True)
 
 
-def _taught(
+def _learned_from(
     truth: Mapping[tuple[str, str], float], seconds: int
 ) -> Disturbance:
-    """Returns what is known after some seconds of rough readings."""
+    """Returns estimates learned from some seconds of noisy readings.
+
+    Args:
+        truth: True coefficients by serving and filler image.
+        seconds: Time for which readings are taken, four per second.
+    """
     random_ = random.Random(5)
     disturbance = Disturbance()
     images = sorted({image for _, image in truth})
@@ -107,20 +112,20 @@
 
 
 def test_pairs_that_disturb_are_told_from_those_that_do_not() -> None:
-    disturbance = _taught(_TRUTH, seconds=60)
+    disturbance = _learned_from(_TRUTH, seconds=60)
     for (serving, image), truth in _TRUTH.items():
         assert disturbance.disturbs(serving, image) == (truth > 2), image
 
 
 def test_a_pair_that_is_not_seen_any_more_is_tried_again() -> None:
-    disturbance = _taught(_TRUTH, seconds=60)
+    disturbance = _learned_from(_TRUTH, seconds=60)
     assert disturbance.coefficient("shop", "heavy") > 3
     disturbance.advance(60 + 300)
     assert disturbance.coefficient("shop", "heavy") < 1.5
 
 
 def test_a_successor_takes_what_was_learned() -> None:
-    disturbance = _taught(_TRUTH, seconds=60)
+    disturbance = _learned_from(_TRUTH, seconds=60)
     successor = Disturbance()
     successor.restore(disturbance.pairs(), now=0.0)
     for serving, image in _TRUTH:
@@ -129,7 +134,7 @@
 
 
 def test_a_worker_that_hangs_teaches_little() -> None:
-    disturbance = _taught(_TRUTH, seconds=60)
+    disturbance = _learned_from(_TRUTH, seconds=60)
     before = disturbance.coefficient("shop", "other")
     disturbance.learn("shop", {"other": 0.05}, 800.0, 60.5)
     disturbance.advance(60.5)
@@ -137,7 +142,7 @@
 
 
 def test_fillers_never_join_what_they_surely_disturb() -> None:
-    disturbance = _taught(_TRUTH, seconds=60)
+    disturbance = _learned_from(_TRUTH, seconds=60)
     shop = _Host(0, serving={"shop": 4000})
     maps = _Host(1, serving={"maps": 4000})
     step = _step(_filler("heavy"))
@@ -146,7 +151,8 @@
 
 
 def test_fillers_take_no_more_than_what_is_left_over() -> None:
-    # Thirty-five fillers once shared a worker at 2.5 times its processors.
+    # Otherwise too many fillers share a worker: 35 of them once requested 2.5
+    # times its processors.
     hosts = [_Host(0), _Host(1)]
     step = _step(StepSpec(40, Size(1000, 100, 0), 1.0, image="f", fills=True))
     placed = 0
@@ -160,8 +166,12 @@
     assert all(left_over(host) == 0 for host in hosts)
 
 
-def _spread(disturbance: Disturbance, hosts: list[_Host]) -> int:
-    """Places sixteen tasks of an image in one pass; returns how many."""
+def _place_in_one_pass(disturbance: Disturbance, hosts: list[_Host]) -> int:
+    """Places up to sixteen tasks of an image in one pass.
+
+    Returns:
+        The number of tasks that were placed.
+    """
     view = plain_view(disturbance)
     step = _step(_filler("new", 2000)._replace(width=16))
     view = view._replace(probes=Probes(disturbance, hosts))
@@ -176,69 +186,81 @@
 
 
 def test_an_image_nobody_knows_is_tried_on_few_workers_at_first() -> None:
-    # On played days half of the time over target began as a job of a new
-    # image was spread over all that serves before the first reading.
+    # In simulated days, half of the time over target began when a job with a
+    # new image was placed beside all serving tasks before the first reading.
     hosts = [_Host(number, serving={"shop": 4000}) for number in range(8)]
     hosts += [_Host(8 + number, serving={"maps": 4000}) for number in range(8)]
     disturbance = Disturbance()
-    assert _spread(disturbance, hosts) == 4
+    assert _place_in_one_pass(disturbance, hosts) == 4
     tried = [host for host in hosts if host.filling]
     assert sorted(h.filling["new"] for h in tried) == [2000] * 4
     assert {next(iter(h.serving)) for h in tried} == {"shop", "maps"}
-    # None goes out before the readings are in, whatever the pass.
-    assert _spread(disturbance, hosts) == 0
+    # Later passes place no task either until there are readings.
+    assert _place_in_one_pass(disturbance, hosts) == 0
     for now in (0.5, 1.0):
         disturbance.advance(now)
         disturbance.learn("shop", {"new": 0.25}, 0.45, now)
         disturbance.learn("maps", {"new": 0.25}, 3.0, now)
-    # One is harmless and takes the others at once; the other is left alone.
-    spread = _spread(disturbance, hosts)
+    # One pair is harmless, so its workers get the other tasks at once; workers
+    # of the disturbing pair get none.
+    spread = _place_in_one_pass(disturbance, hosts)
     assert spread == 16, spread
     maps = [host for host in hosts if host.serving["maps"]]
     assert sum(host.filling["new"] for host in maps) == 4000
 
 
-def _blamed(variance: float) -> Disturbance:
-    """Returns what is known after one pair has been blamed."""
+def _with_disturbing_pair(variance: float) -> Disturbance:
+    """Returns estimates in which one pair disturbs.
+
+    Args:
+        variance: Variance of the estimate; a large one means few readings.
+    """
     disturbance = Disturbance()
     disturbance.restore([PairEstimate("shop", "batch", 4.0, variance)], 0.0)
     return disturbance
 
 
-def _starved(disturbance: Disturbance, hosts: list[_Host]) -> View:
-    """Returns a view in which there is no room for one image."""
+def _view_without_capacity(
+    disturbance: Disturbance, hosts: list[_Host]
+) -> View:
+    """Returns a view in which an image has no other capacity."""
     compatibility = Compatibility(["batch"], disturbance)
     outlook = Outlook({"batch": 1.0}, compatibility, "batch")
     return View(disturbance, outlook, Probes(disturbance, hosts))
 
 
 def test_a_pair_blamed_on_little_evidence_is_tried_again_by_one_task() -> None:
-    # On a played day 380 tasks waited beside 500 idle cores: all five images
-    # that serve had been blamed before the first settled reading.
+    # In a simulated day, 380 tasks waited while 500 cores were idle: all pairs
+    # with the five serving images had been classified as disturbing before the
+    # first settled reading.
     hosts = [_Host(number, serving={"shop": 4000}) for number in range(3)]
     step = _step(_filler("batch")._replace(width=2))
     for variance, tried in ((3.0, True), (0.2, False)):
-        disturbance = _blamed(variance)
-        view = _starved(disturbance, hosts)
+        disturbance = _with_disturbing_pair(variance)
+        view = _view_without_capacity(disturbance, hosts)
         host = choose(step.tasks[0], hosts, view)
         assert (host is not None) == tried, variance
         if host is not None:
             assert view.probes.note("batch", host)
             assert choose(step.tasks[1], hosts, view) is None
-    # With room elsewhere there is no reason to try.
-    view = plain_view(_blamed(3.0))
+    # With capacity on other workers, there is no reason to try the pair again.
+    view = plain_view(_with_disturbing_pair(3.0))
     assert choose(step.tasks[0], hosts, view) is None
-    # Beside others the reading would say nothing of this pair.
+    # Beside other fillers, a reading would say nothing about this pair.
     busy = [_Host(0, serving={"shop": 4000}, filling={"other": 1000})]
-    view = _starved(_blamed(3.0), busy)
+    view = _view_without_capacity(_with_disturbing_pair(3.0), busy)
     assert choose(step.tasks[0], busy, view) is None
 
 
-def _misjudged(seed: int, truth: float) -> float:
-    """Returns how often a pair is misjudged while what serves swings.
+def _share_misclassified(seed: int, truth: float) -> float:
+    """Returns how often a pair is misclassified while serving load swings.
+
+    The load of six workers swings by half in ten seconds, each with its own
+    phase. On two of them, a filler runs intermittently.
 
-    Six workers swing by half in ten seconds, each at its own time; on two of
-    them an image fills now and then.
+    Args:
+        seed: Seed of phases and noise.
+        truth: True coefficient of the pair.
     """
     random_ = random.Random(seed)
     phases = [random_.uniform(0.0, math.tau) for _ in range(6)]
@@ -262,23 +284,23 @@
 
 def test_a_swing_of_what_serves_is_not_put_down_to_what_fills() -> None:
     for truth in (0.0, 8.0):
-        wrong = [_misjudged(seed, truth) for seed in range(40)]
+        wrong = [_share_misclassified(seed, truth) for seed in range(40)]
         assert sum(wrong) / len(wrong) < 0.025, (truth, wrong)
 
 
 def test_what_serves_joins_its_own_image() -> None:
     step = _step(StepSpec(1, SMALL, lasting=True, image="a", target_tail=20))
-    alike = _Host(0, Size(4000, 9000, 0), serving={"a": 4000})
+    same_image = _Host(0, Size(4000, 9000, 0), serving={"a": 4000})
     empty = _Host(1)
     mixed = _Host(2, Size(1500, 9000, 0), serving={"b": 4000})
     chosen = choose(
-        step.tasks[0], [mixed, empty, alike], plain_view(Disturbance())
+        step.tasks[0], [mixed, empty, same_image], plain_view(Disturbance())
     )
-    assert chosen is alike
+    assert chosen is same_image
 
 
 def test_only_the_culprit_is_slowed_and_comes_back() -> None:
-    disturbance = _taught(_TRUTH, seconds=60)
+    disturbance = _learned_from(_TRUTH, seconds=60)
     fillers = [
         Filler("heavy", 0.1, FULL_PACE),
         Filler("light", 0.1, FULL_PACE),
@@ -301,8 +323,8 @@
 
 
 def test_a_target_that_stays_missed_stops_all_that_fills() -> None:
-    # On a played day a task was over its target for 4 s while what filled
-    # beside it was slowed in steps, and new fillers came at full speed.
+    # In a simulated day, a task exceeded its target for 4 s while the fillers
+    # beside it were slowed in steps and new fillers started at full speed.
     fillers = [Filler("x", 0.1, FULL_PACE), Filler("y", 0.1, 30)]
     readings = [Reading("shop", 0.5, 0.4), Reading("maps", 1.1, 0.5, 2.0)]
     harmless = Disturbance()
@@ -327,11 +349,11 @@
     assert paces == [FULL_PACE]
 
 
-def _urgencies(now: float) -> dict[str, DeadlineClass]:
-    """Returns the chances of a begun, a fresh, a tight and a hopeless job."""
+def _deadline_classes(now: float) -> dict[str, DeadlineClass]:
+    """Returns the deadline classes of jobs of different ages, by name."""
     durations = Durations()
     step = StepSpec(1, SMALL, 2.0)
-    # The objective is 2 times 2 s and 1 s more: 5 s after acceptance.
+    # The objective is 2 times 2 s plus 1 s: 5 s after acceptance.
     found = {}
     for name, accepted_at in {
         "fresh": now,
@@ -349,7 +371,7 @@
 
 
 def test_begun_jobs_come_first_and_hopeless_ones_last() -> None:
-    chances = _urgencies(1000.0)
+    chances = _deadline_classes(1000.0)
     order = sorted(chances, key=lambda name: chances[name])
     assert order == ["begun", "fresh", "tight", "late", "hopeless"]
 
@@ -381,15 +403,15 @@
     assert not _is_slow(usual)
     assert not _is_slow(wrong)
     assert _is_slow(slow)
-    # One job's estimates may all be wrong alike.
+    # All estimates of one job may be wrong by the same factor.
     assert not _is_slow([run._replace(job="a") for run in slow])
-    # Where everything is crowded, no worker is to blame.
+    # If all workers are overloaded, none of them is impaired.
     assert not _is_slow(slow, others=0.3)
 
 
 def test_a_worker_that_hangs_is_told_by_one_reading() -> None:
     hung = [Reading("a", 700.0, 650.0), Reading("b", 90.0, 80.0)]
-    # Whatever fills beside them: no pair was seen to do that.
+    # No filler raises tail latencies that far, whatever is explained.
     assert is_sick(hung, explained=1.0)
     assert not is_sick([hung[0], Reading("b", 0.5, 0.4)], explained=0.0)
 
@@ -415,7 +437,7 @@
 
 
 def test_a_task_whose_stop_is_on_its_way_counts_as_away() -> None:
-    # Two tasks of one step were once taken away in one pass.
+    # Otherwise one pass can evict two tasks of one step.
     step = _step(StepSpec(3, SMALL, lasting=True, away_most=1))
     for number, task in enumerate(step.tasks):
         run = Run(1, number)
@@ -436,7 +458,8 @@
         for width in (1, 8, 32)
     ]
     assert chains[0] == 2.0
-    # Log-normal with a spread of 0.45: 1.9 and 2.5 times the typical one.
+    # Log-normal with a standard deviation of 0.45: the slowest of 8 and of 32
+    # takes 1.9 and 2.5 times the median.
     assert 1.8 < chains[1] / chains[0] < 2.0, chains
     assert 2.4 < chains[2] / chains[0] < 2.6, chains
 
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,6 +1,7 @@
-"""Replays of load at its worst, through the real owner, in virtual time.
+"""Runs the real owner under overload in virtual time.
 
-Each compares the shipped order of work with a plain one in the same run.
+Guards against a job order in which an overloaded system starts every job too
+late: the shipped order is compared with the order by spare time alone.
 """
 
 from collections.abc import Callable
@@ -25,12 +26,12 @@
     running,
 )
 
-Order = Callable[[Step, Durations, float], Urgency]
+Ranking = Callable[[Step, Durations, float], Urgency]
 
 _SECONDS = 30.0
-# 32 cores; a job takes 12 core-seconds: 2.7 jobs a second fit.
+# Twice the capacity: 32 cores process 2.7 jobs of 12 core-seconds per second.
 _JOBS_PER_SECOND = 5.3
-# Two times a chain of 2 s, and 1 s.
+# Twice the critical path of 2 s, plus 1 s.
 _OBJECTIVE = 5.0
 
 
@@ -43,15 +44,22 @@
     return Urgency(job.queue.priority, DeadlineClass.BEGUN, spare)
 
 
-async def _earn(order: Order, earned: list[int]) -> None:
-    """Plays a burst at twice the capacity; counts jobs done in time."""
+async def _count_jobs_in_time(
+    ranking: Ranking, in_time_counts: list[int]
+) -> None:
+    """Submits jobs at twice the capacity and counts those done in time.
+
+    Args:
+        ranking: Ranks the steps of jobs.
+        in_time_counts: The count is appended to this list.
+    """
     store = StoreStandin()
     hall = make_hall(4, plan=lambda _: TaskPlan(1.0, SMALL))
     accepted: dict[str, float] = {}
     done: dict[str, float] = {}
     with (
         mock.patch.object(wall, "now", trio.current_time),
-        mock.patch.object(dispatcher, "urgency", order),
+        mock.patch.object(dispatcher, "urgency", ranking),
     ):
         async with running(make_owner(store, hall, 1)) as owner:
             for number in range(int(_SECONDS * _JOBS_PER_SECOND)):
@@ -64,16 +72,17 @@
                     state = owner.desk.state(known).state
                     if state is JobState.COMPLETED:
                         done.setdefault(known, trio.current_time())
-    earned.append(
+    in_time_counts.append(
         sum(at - accepted[job] <= _OBJECTIVE for job, at in done.items())
     )
 
 
 def test_a_doubled_load_still_earns_what_fits() -> None:
-    ours: list[int] = []
-    plain: list[int] = []
-    run_virtual(lambda: _earn(urgency, ours))
-    run_virtual(lambda: _earn(_least_spare_first, plain))
-    # Least spare time first starts every job at the last moment; 80 jobs fit.
-    assert ours[0] >= 2 * plain[0], (ours, plain)
-    assert ours[0] >= 0.7 * 80, ours
+    shipped: list[int] = []
+    by_spare_time: list[int] = []
+    run_virtual(lambda: _count_jobs_in_time(urgency, shipped))
+    run_virtual(lambda: _count_jobs_in_time(_least_spare_first, by_spare_time))
+    # The order by spare time starts every job at the last moment. The capacity
+    # is enough for 80 jobs.
+    assert shipped[0] >= 2 * by_spare_time[0], (shipped, by_spare_time)
+    assert shipped[0] >= 0.7 * 80, shipped
--- a/tests/test_review_of_mends.py
+++ b/tests/test_review_of_mends.py
@@ -29,7 +29,12 @@
 from pimentocross.work.spec import JobSpec, Size, StepSpec
 from pimentocross.work.state import Step
 from tests.owner_fixtures import QUEUE, chain, life, wait_until
-from tests.pass_fixtures import PassCell, make_step, make_worker, put_to_work
+from tests.pass_fixtures import (
+    DispatcherHarness,
+    add_running_tasks,
+    make_step,
+    make_worker,
+)
 from tests.slow_vm import ChargingClock, run_on_slow_vm
 from tests.test_pass_share import _busy_cell, _Cell, _more_starts
 
@@ -110,10 +115,10 @@
         lasting = StepSpec(2, _HALF, lasting=True, image="serve")
         for number, worker in enumerate(workers):
             step = make_step(f"last{number}", lasting)
-            put_to_work(worker, step)
+            add_running_tasks(worker, step)
             for run in worker.runs.values():
                 run.began_at = trio.current_time() - 60.0
-        cell = PassCell(workers)
+        cell = DispatcherHarness(workers)
         short = JobSpec("", (StepSpec(1, _HALF, 1.0),))
         cell.book.accept("short", QUEUE, short)
         for number in range(_FILLERS):
@@ -124,16 +129,16 @@
                 nursery.start_soon(cell.run)
                 # The second time that all is looked at, in its midst.
                 await wait_until(lambda: placer.calls > _FILLERS * 1.5)
-                assert not cell.kept.stopped
+                assert not cell.recorded.stopped
                 task, run = next(iter(workers[1].running()))
                 task.done = True
                 workers[1].remove(task, run.number)
                 cell.dispatcher.wake()
                 await wait_until(lambda: placer.calls > _FILLERS * 2.5)
                 nursery.cancel_scope.cancel()
-        names = [task.name.job for _, task, _ in cell.kept.stopped]
+        names = [task.name.job for _, task, _ in cell.recorded.stopped]
         assert not names, names
-        assert [p.task.name.job for p in cell.kept.started] == ["short"]
+        assert [p.task.name.job for p in cell.recorded.started] == ["short"]
 
     run_on_slow_vm(1.0, play)
 
--- a/tests/test_starts_held.py
+++ b/tests/test_starts_held.py
@@ -27,7 +27,12 @@
     spec,
     wait_until,
 )
-from tests.pass_fixtures import KeptOrders, make_step, make_worker, put_to_work
+from tests.pass_fixtures import (
+    RecordedOrders,
+    add_running_tasks,
+    make_step,
+    make_worker,
+)
 
 _LASTING = Size(1900, 1000, 0)
 _SHORT = Size(2000, 1000, 0)
@@ -83,22 +88,24 @@
 async def test_it_stays_on_an_unsound_worker_meanwhile() -> None:
     worker, late_until = _late_worker()
     worker.unsound_until = late_until + 1.0
-    kept = KeptOrders()
-    orders = cast(Orders, kept)
+    recorded = RecordedOrders()
+    orders = cast(Orders, recorded)
     roster = mock.Mock(workers=mock.Mock(return_value=[worker]))
     care = Care(roster, Learned())
     await trio.sleep_until(late_until - 0.1)
     care.pass_over(orders)
-    assert not kept.stopped
+    assert not recorded.stopped
     await trio.sleep_until(late_until)
     care.pass_over(orders)
-    assert len(kept.stopped) == 1
+    assert len(recorded.stopped) == 1
 
 
 def _late_worker() -> tuple[Worker, float]:
     """Returns a worker with a lasting run whose start may come late."""
     worker = make_worker(life(0), 0)
-    put_to_work(worker, make_step("watch", StepSpec(1, _LASTING, lasting=True)))
+    add_running_tasks(
+        worker, make_step("watch", StepSpec(1, _LASTING, lasting=True))
+    )
     (run,) = worker.runs.values()
     run.late_until = trio.current_time() + const.LATE_START_MOST
     return worker, run.late_until
--- a/tests/test_tails.py
+++ b/tests/test_tails.py
@@ -1,7 +1,8 @@
-"""Queues of which a few tasks take several times as long as the rest.
+"""Queues in which a few tasks take several times as long as the others.
 
-Load pattern: all tasks of 4 of 100 steps take seven times as long, on whatever
-worker.
+Load pattern: all tasks of 4 in 100 steps take seven times as long, on any
+worker. Guards against predictions that miss such steps, and against blaming
+healthy workers for them.
 """
 
 import math
@@ -28,7 +29,12 @@
 
 
 def _learn(durations: Durations, tail: float) -> None:
-    """Has 300 steps end, some of long tasks; estimates are off by half."""
+    """Records 300 steps with estimates that are off by half.
+
+    Args:
+        durations: Learns from the steps.
+        tail: Share of steps whose tasks take seven times as long.
+    """
     draw = random.Random(1)
     for number in range(300):
         usual = _USUAL * math.exp(draw.gauss(0, 0.3))
@@ -37,8 +43,8 @@
         estimate = usual * math.exp(draw.gauss(0, 0.5))
         step = _step(f"j{number}", _SPEC._replace(estimate=estimate))
         for _ in step.tasks:
-            took = usual * math.exp(draw.gauss(0, 0.25))
-            durations.note_task(step, took, took)
+            seconds = usual * math.exp(draw.gauss(0, 0.25))
+            durations.note_task(step, seconds, seconds)
 
 
 def _with_tail(tail: float = 0.04) -> Durations:
@@ -59,8 +65,8 @@
     for number in range(60):
         step = _step(f"j{number}")
         for position in range(10):
-            took = 7 * _USUAL if position == 9 and number % 3 else _USUAL
-            durations.note_task(step, took, took)
+            seconds = 7 * _USUAL if position == 9 and number % 3 else _USUAL
+            durations.note_task(step, seconds, seconds)
     assert durations.has_stragglers(QUEUE.name)
     assert not durations.has_tail(QUEUE.name)
 
@@ -77,8 +83,8 @@
 
 def test_few_tasks_show_no_tail() -> None:
     durations = Durations()
-    for took in (0.7, 5.0, 5.0, 0.7):
-        durations.note_task(_step("j"), took, took)
+    for seconds in (0.7, 5.0, 5.0, 0.7):
+        durations.note_task(_step("j"), seconds, seconds)
     assert not durations.has_tail(QUEUE.name)
 
 
@@ -101,7 +107,7 @@
     long = durations.task(QUEUE.name, _SPEC._replace(estimate=5.0))
     assert 0.6 < usual < 1.0, usual
     assert 2.0 < long < 6.0, long
-    # As estimates counted before, half as long.
+    # Without a known tail, the same estimate leads to a shorter duration.
     plain = Durations()
     plain.restore(durations.means())
     assert plain.task(QUEUE.name, _SPEC._replace(estimate=5.0)) < 1.6
@@ -127,7 +133,7 @@
     wide = durations.critical_path(
         step.occurrence
     ) / durations.expected_duration(step)
-    # 1.5 deviations of 0.25 in the logarithm.
+    # 1.5 standard deviations of 0.25 in the logarithm.
     assert 1.3 < wide < 1.7, wide
 
 
@@ -173,7 +179,7 @@
         _progress(durations, "b", 63, 1.1),
     ]
     assert not _is_slow(lone)
-    # Short tasks end before they are measured, long ones stay to be seen.
+    # Short tasks end before they are measured, so that only long ones are seen.
     two = [
         _progress(durations, "a", 32, 1.6),
         _progress(durations, "b", 30, 1.6),
