--- a/pimentocross/owner/care.py
+++ b/pimentocross/owner/care.py
@@ -15,7 +15,7 @@
     MOVE_MAX_PACE,
     SETTLING_SECONDS,
     STOP_AFTER_SECONDS,
-    Filler,
+    BestEffortRun,
     next_paces,
 )
 from pimentocross.placement.soundness import may_evict_task
@@ -191,7 +191,7 @@
                 orders.stop(worker, task, run, "would disturb what serves")
                 runs.remove((task, run))
         fillers = [
-            Filler(
+            BestEffortRun(
                 task.step.spec.image,
                 task.step.spec.size.cpu / capacity,
                 run.pace,
--- a/pimentocross/placement/disturbance.py
+++ b/pimentocross/placement/disturbance.py
@@ -1,17 +1,17 @@
-"""Estimates how much filler images raise the tail latency of serving images.
+"""Estimates how much best-effort images raise tail latencies of serving images.
 
-A serving image is one whose tasks have a tail-latency target; a filler image
-is one whose tasks use only the processor time that is left over.
+Tasks of serving images have a tail-latency target. Tasks of best-effort images
+(`fills`) use only the processor time that is left over.
 
 For each serving image, the logarithm of tail latency over target is modelled as
 the sum of a base value, a deviation of the worker that lasts some seconds (the
-load on its tasks swings), and, for each filler image on the same worker, a
-coefficient times the share of the worker's processors that the filler uses. All
+load on its tasks swings), and, for each best-effort image on the same worker, a
+coefficient times the share of the worker's processors that this image uses. All
 terms are estimated with their variance, one reading at a time, by a Kalman
 filter that treats them as independent, and decay slowly to their priors.
 Without the deviation of the worker, a load swing would be attributed to
-whichever filler has just started. A few pairs raise the tail latency tenfold,
-most have no effect.
+whichever best-effort task has just started. A few pairs raise the tail latency
+tenfold, most have no effect.
 """
 
 from collections.abc import Mapping, Sequence
@@ -34,11 +34,12 @@
 
 
 class PairEstimate(NamedTuple):
-    """The estimated effect of a filler image on a serving image.
+    """The estimated effect of a best-effort image on a serving image.
 
     Attributes:
         serving: Serving image.
-        filling: Filler image, or "" for the base value of the serving image.
+        filling: Best-effort image, or "" for the base value of the serving
+            image.
         mean: Rise of the logarithm of the tail latency per unit of the share
             of the processors.
         variance: Variance of the estimate.
@@ -50,22 +51,22 @@
     variance: float
 
 
-# Without fillers, tail latencies are about half of their target.
+# Without best-effort tasks, tail latencies are about half of the target.
 _BASE_PRIOR: Final = Estimate(math.log(0.45), 0.3, 0.0)
 # Assumes some effect, so that a pair without readings is tried cautiously.
 _PAIR_PRIOR: Final = Estimate(1.0, 6.0, 0.0)
 # Below this, the effect of a pair can't be told from noise.
 _NOISE_LIMIT: Final = 0.8
-# From this coefficient on, a filler counts as disturbing the serving image.
+# From this coefficient on, a best-effort image counts as disturbing.
 _DISTURBING_FROM: Final = 1.5
-# One or two readings beside a filler of usual size bring the variance below
-# this: enough to detect a pair that disturbs strongly.
+# One or two readings beside a best-effort task of usual size bring the variance
+# below this: enough to detect a pair that disturbs strongly.
 _TRIED_VARIANCE: Final = 0.75 * _PAIR_PRIOR.variance
 # From this variance on, a pair that seems to disturb may well be harmless: its
 # coefficient is as close to 0 as its standard deviation is wide.
 _UNCERTAIN_VARIANCE: Final = 1.0
-# A reading is off by about a tenth, and which fillers ran while it was taken
-# is known only approximately.
+# A reading is off by about a tenth, and which best-effort tasks ran while it
+# was taken is known only approximately.
 _READING_VARIANCE: Final = 0.02
 # Variance and decay time in seconds of a worker's deviation: the load on
 # serving tasks swings by half over ten and more seconds.
@@ -82,7 +83,7 @@
 # Time constant, in seconds, with which a pair without readings returns to its
 # prior.
 _PRIOR_DECAY: Final = 100.0
-_NO_FILLER: Final = ""
+_BASE_IMAGE: Final = ""
 # Readings are clamped to this range: a worker that hangs shows tail latencies
 # of hundreds of times the target, which say nothing more about pairs.
 _MAX_RATIO: Final = 5.0
@@ -90,7 +91,7 @@
 
 
 class Disturbance:
-    """Learns which filler images disturb which serving images."""
+    """Learns which best-effort images disturb which serving images."""
 
     def __init__(self) -> None:
         """Starts with the same prior for every pair."""
@@ -128,7 +129,7 @@
         self._current.clear()
 
     def coefficient(self, serving: str, filling: str) -> float:
-        """Returns the rise of the logarithm per unit of the filler's share.
+        """Returns the rise of the logarithm per unit of the processor share.
 
         0 for pairs whose effect can't be told from load swings.
         """
@@ -136,7 +137,7 @@
         return known.mean if known.mean > _NOISE_LIMIT else 0.0
 
     def disturbs(self, serving: str, filling: str) -> bool:
-        """Returns whether a filler image disturbs a serving image.
+        """Returns whether a best-effort image disturbs a serving image.
 
         True only if the effect is too large to be caused by the load.
         """
@@ -159,11 +160,11 @@
     def expected_increase(
         self, serving: str, loads: Mapping[str, float]
     ) -> float:
-        """Returns the rise of the log tail latency expected from fillers.
+        """Returns the log tail latency increase by best-effort images.
 
         Args:
             serving: The serving image.
-            loads: Shares of the worker's processors by filler image.
+            loads: Shares of the worker's processors by best-effort image.
         """
         return sum(
             share * self.coefficient(serving, image)
@@ -182,14 +183,14 @@
 
         Args:
             serving: The serving image.
-            loads: Shares of the worker's processors by filler image while the
-                reading was taken.
+            loads: Shares of the worker's processors by best-effort image while
+                the reading was taken.
             ratio: Tail latency over its target.
             now: Present time.
             worker: Number of the worker that reported the reading.
         """
         weights = {image: share for image, share in loads.items() if share > 0}
-        weights[_NO_FILLER] = 1.0
+        weights[_BASE_IMAGE] = 1.0
         deviation = self._level(worker, serving, now)
         known: dict[str, Estimate] = {}
         expected_effect = variance = 0.0
--- a/pimentocross/placement/probes.py
+++ b/pimentocross/placement/probes.py
@@ -1,11 +1,11 @@
-"""Limits the trial of pairs of a filler image and a serving image.
+"""Limits the trial of pairs of a best-effort image and a serving image.
 
-Load pattern: a job with a new filler image arrives with sixteen tasks. If all
-are placed at once, they run beside each serving image on several workers, two
-on each, and where the pair disturbs, all these workers miss their targets for a
-second: in simulated days, half of the time over target began like that. One or
-two tasks tell as much. The others wait for the reading, or go to workers on
-which the effect of their image is known.
+Load pattern: a job with a new best-effort image arrives with sixteen tasks. If
+all are placed at once, they run beside each serving image on several workers,
+two on each, and where the pair disturbs, all these workers miss their targets
+for a second: in simulated days, half of the time over target began like that.
+One or two tasks tell as much. The others wait for the reading, or go to workers
+on which the effect of their image is known.
 
 A pair that was blamed for the effect of another one is never placed again, so
 that the error lasts: in a simulated day, 380 tasks waited while 500 cores were
@@ -23,8 +23,8 @@
 # Workers on which a pair is tried at a time: a second one, as the first may be
 # impaired for another reason.
 MAX_TRIAL_WORKERS: Final = 2
-# Scarcity of capacity for a filler image, 0 to 1, from which on its uncertain
-# pairs are tried again.
+# Scarcity of capacity for a best-effort image, 0 to 1, from which on its
+# uncertain pairs are tried again.
 RETRY_MIN_SCARCITY: Final = 0.9
 # Seconds between two such trials of an image: the start of a task, two
 # readings, and the time to recover from a target missed because of it.
@@ -43,10 +43,10 @@
         """Counts the workers on which untried pairs run at present.
 
         Args:
-            disturbance: Learned effects of filler images.
+            disturbance: Learned effects of best-effort images.
             hosts: Workers in use.
-            retried: Filler images with an uncertain pair that was tried again
-                within the last `RETRY_INTERVAL`.
+            retried: Best-effort images with an uncertain pair that was tried
+                again within the last `RETRY_INTERVAL`.
         """
         self._disturbance = disturbance
         self._retried = set(retried)
@@ -56,10 +56,10 @@
                 self._count(filling, host)
 
     def allows(self, filling: str, host: Host) -> bool:
-        """Returns whether trials permit one more filler on a worker.
+        """Returns whether trials permit one more best-effort task.
 
         Args:
-            filling: Image of the filler.
+            filling: Image of the task.
             host: The worker.
         """
         if not host.serving:
@@ -83,26 +83,26 @@
         """Returns whether an uncertain pair of an image may be tried again.
 
         Args:
-            filling: The filler image.
+            filling: The best-effort image.
             scarcity: Scarcity of capacity for the image, 0 to 1.
         """
         return scarcity >= RETRY_MIN_SCARCITY and filling not in self._retried
 
     def may_retry(self, filling: str, host: Host, scarcity: float) -> bool:
-        """Returns whether a filler may be placed to try uncertain pairs again.
+        """Returns whether a task may be placed to try uncertain pairs again.
 
         True only if every disturbing pair on the worker is uncertain.
 
         Args:
-            filling: Image of the filler.
+            filling: Best-effort image of the task.
             host: The worker.
             scarcity: Scarcity of capacity for the image, 0 to 1.
         """
         if not self.is_retry_due(filling, scarcity):
             return False
         if host.filling:
-            # Beside other fillers, a reading would not tell the effect of this
-            # pair.
+            # Beside other best-effort tasks, a reading would not tell the
+            # effect of this pair.
             return False
         return all(
             self._disturbance.is_uncertain(serving, filling)
@@ -111,7 +111,11 @@
         )
 
     def note(self, filling: str, host: Host) -> bool:
-        """Records a filler about to start; returns whether it is a retrial."""
+        """Records a task that is about to start.
+
+        Returns:
+            Whether the task tries an uncertain pair again.
+        """
         self._count(filling, host)
         if any(self._disturbance.disturbs(i, filling) for i in host.serving):
             self._retried.add(filling)
@@ -119,7 +123,7 @@
         return False
 
     def _count(self, filling: str, host: Host) -> None:
-        """Counts a worker for each untried pair of a filler image there."""
+        """Counts a worker for each untried pair of an image on it."""
         for serving in host.serving:
             if self._disturbance.is_untried(serving, filling):
                 self._workers[(serving, filling)] += 1
--- a/pimentocross/placement/soundness.py
+++ b/pimentocross/placement/soundness.py
@@ -31,12 +31,13 @@
 # and then. If all of them exceed theirs by this factor, the worker is the
 # cause.
 IMPAIRED_RATIO: Final = 1.5
-# ... if this lasts for so many seconds, which is three readings, and fillers
-# explain no more than so much of the logarithm of the tail latency.
+# ... if this lasts for so many seconds, which is three readings, and
+# best-effort tasks explain no more than so much of the logarithm of the tail
+# latency.
 IMPAIRED_AFTER_SECONDS: Final = 1.2
 MAX_EXPLAINED: Final = 0.3
-# Fillers never raise a tail latency by this factor, workers that hang do: one
-# reading is enough.
+# Best-effort tasks never raise a tail latency by this factor, workers that hang
+# do: one reading is enough.
 HANGING_RATIO: Final = 40.0
 
 
@@ -156,12 +157,14 @@
 
 
 def is_sick(readings: Sequence[Reading], explained: float) -> bool:
-    """Returns whether all serving images suffer, and not because of fillers.
+    """Returns whether all serving images suffer because of the worker.
+
+    False if best-effort tasks explain their tail latencies.
 
     Args:
         readings: Readings of all serving images on the worker.
         explained: Rise of the logarithm of the tail latency that is expected
-            from the fillers on the worker.
+            from the best-effort tasks on the worker.
     """
     if not readings:
         return False
--- a/tests/test_placement_under_load.py
+++ b/tests/test_placement_under_load.py
@@ -13,7 +13,7 @@
 from pimentocross.placement.layout import Compatibility, Outlook
 from pimentocross.placement.pacing import (
     FULL_PACE,
-    Filler,
+    BestEffortRun,
     Reading,
     next_paces,
 )
@@ -68,7 +68,7 @@
     return _job(spec).occurrences[0].steps[0]
 
 
-def _filler(image: str, cpu: int = 1000) -> StepSpec:
+def _best_effort_step(image: str, cpu: int = 1000) -> StepSpec:
     return StepSpec(1, Size(cpu, 1000, 0), 1.0, image=image, fills=True)
 
 
@@ -78,7 +78,7 @@
     """Returns estimates learned from some seconds of noisy readings.
 
     Args:
-        truth: True coefficients by serving and filler image.
+        truth: True coefficients by serving and best-effort image.
         seconds: Time for which readings are taken, four per second.
     """
     random_ = random.Random(5)
@@ -145,14 +145,14 @@
     disturbance = _learned_from(_TRUTH, seconds=60)
     shop = _Host(0, serving={"shop": 4000})
     maps = _Host(1, serving={"maps": 4000})
-    step = _step(_filler("heavy"))
+    step = _step(_best_effort_step("heavy"))
     assert choose(step.tasks[0], [shop, maps], plain_view(disturbance)) is maps
     assert choose(step.tasks[0], [shop], plain_view(disturbance)) is None
 
 
 def test_fillers_take_no_more_than_what_is_left_over() -> None:
-    # Otherwise too many fillers share a worker: 35 of them once requested 2.5
-    # times its processors.
+    # Otherwise too many best-effort tasks share a worker: 35 of them once
+    # requested 2.5 times its processors.
     hosts = [_Host(0), _Host(1)]
     step = _step(StepSpec(40, Size(1000, 100, 0), 1.0, image="f", fills=True))
     placed = 0
@@ -173,7 +173,7 @@
         The number of tasks that were placed.
     """
     view = plain_view(disturbance)
-    step = _step(_filler("new", 2000)._replace(width=16))
+    step = _step(_best_effort_step("new", 2000)._replace(width=16))
     view = view._replace(probes=Probes(disturbance, hosts))
     placed = 0
     for task in step.tasks:
@@ -234,7 +234,7 @@
     # with the five serving images had been classified as disturbing before the
     # first settled reading.
     hosts = [_Host(number, serving={"shop": 4000}) for number in range(3)]
-    step = _step(_filler("batch")._replace(width=2))
+    step = _step(_best_effort_step("batch")._replace(width=2))
     for variance, tried in ((3.0, True), (0.2, False)):
         disturbance = _with_disturbing_pair(variance)
         view = _view_without_capacity(disturbance, hosts)
@@ -246,7 +246,7 @@
     # With capacity on other workers, there is no reason to try the pair again.
     view = plain_view(_with_disturbing_pair(3.0))
     assert choose(step.tasks[0], hosts, view) is None
-    # Beside other fillers, a reading would say nothing about this pair.
+    # Beside other tasks, a reading would say nothing about this pair.
     busy = [_Host(0, serving={"shop": 4000}, filling={"other": 1000})]
     view = _view_without_capacity(_with_disturbing_pair(3.0), busy)
     assert choose(step.tasks[0], busy, view) is None
@@ -256,7 +256,7 @@
     """Returns how often a pair is misclassified while serving load swings.
 
     The load of six workers swings by half in ten seconds, each with its own
-    phase. On two of them, a filler runs intermittently.
+    phase. On two of them, a best-effort task runs intermittently.
 
     Args:
         seed: Seed of phases and noise.
@@ -301,42 +301,52 @@
 
 def test_only_the_culprit_is_slowed_and_comes_back() -> None:
     disturbance = _learned_from(_TRUTH, seconds=60)
-    fillers = [
-        Filler("heavy", 0.1, FULL_PACE),
-        Filler("light", 0.1, FULL_PACE),
+    best_effort_runs = [
+        BestEffortRun("heavy", 0.1, FULL_PACE),
+        BestEffortRun("light", 0.1, FULL_PACE),
     ]
-    slow = next_paces([Reading("shop", 1.1, 1.0)], fillers, disturbance)
+    slow = next_paces(
+        [Reading("shop", 1.1, 1.0)], best_effort_runs, disturbance
+    )
     assert slow[0] < 60
     assert slow[1] == FULL_PACE
-    slowed = [Filler("heavy", 0.1, slow[0]), fillers[1]]
+    slowed = [BestEffortRun("heavy", 0.1, slow[0]), best_effort_runs[1]]
     calm = next_paces([Reading("shop", 0.3, 0.3)], slowed, disturbance)
     assert calm[0] > slow[0]
 
 
 def test_a_target_missed_for_no_known_reason_slows_all() -> None:
-    fillers = [Filler("x", 0.01, FULL_PACE), Filler("y", 0.01, FULL_PACE)]
-    brief = next_paces([Reading("shop", 2.0, 2.0, 0.5)], fillers, Disturbance())
+    best_effort_runs = [
+        BestEffortRun("x", 0.01, FULL_PACE),
+        BestEffortRun("y", 0.01, FULL_PACE),
+    ]
+    brief = next_paces(
+        [Reading("shop", 2.0, 2.0, 0.5)], best_effort_runs, Disturbance()
+    )
     lasting = next_paces(
-        [Reading("shop", 2.0, 2.0, 1.5)], fillers, Disturbance()
+        [Reading("shop", 2.0, 2.0, 1.5)], best_effort_runs, Disturbance()
     )
     assert max(lasting) <= 30 < min(brief) + FULL_PACE
 
 
 def test_a_target_that_stays_missed_stops_all_that_fills() -> None:
-    # In a simulated day, a task exceeded its target for 4 s while the fillers
-    # beside it were slowed in steps and new fillers started at full speed.
-    fillers = [Filler("x", 0.1, FULL_PACE), Filler("y", 0.1, 30)]
+    # In a simulated day, a task exceeded its target for 4 s while best-effort
+    # tasks beside it were slowed in steps and new ones started at full speed.
+    best_effort_runs = [
+        BestEffortRun("x", 0.1, FULL_PACE),
+        BestEffortRun("y", 0.1, 30),
+    ]
     readings = [Reading("shop", 0.5, 0.4), Reading("maps", 1.1, 0.5, 2.0)]
     harmless = Disturbance()
     harmless.restore(
         [PairEstimate("maps", image, 0.0, 0.1) for image in "xy"], 0.0
     )
-    assert next_paces(readings, fillers, harmless) == [0, 0]
+    assert next_paces(readings, best_effort_runs, harmless) == [0, 0]
 
 
 def test_nothing_fills_beside_a_task_that_is_over_its_target() -> None:
     calm, over = _Host(0, serving={"a": 4000}), _Host(1, serving={"a": 1000})
-    task = _step(_filler("x")).tasks[0]
+    task = _step(_best_effort_step("x")).tasks[0]
     view = plain_view(Disturbance())
     assert choose(task, [over], view) is over
     over.suffers = True
@@ -345,7 +355,7 @@
 
 
 def test_with_nobody_to_disturb_fillers_work_at_full_speed() -> None:
-    paces = next_paces([], [Filler("x", 0.5, 10)], Disturbance())
+    paces = next_paces([], [BestEffortRun("x", 0.5, 10)], Disturbance())
     assert paces == [FULL_PACE]
 
 
@@ -411,7 +421,7 @@
 
 def test_a_worker_that_hangs_is_told_by_one_reading() -> None:
     hung = [Reading("a", 700.0, 650.0), Reading("b", 90.0, 80.0)]
-    # No filler raises tail latencies that far, whatever is explained.
+    # No best-effort task raises tail latencies that far, whatever is explained.
     assert is_sick(hung, explained=1.0)
     assert not is_sick([hung[0], Reading("b", 0.5, 0.4)], explained=0.0)
 
--- a/tests/test_triage.py
+++ b/tests/test_triage.py
@@ -241,7 +241,7 @@
     assert not any(
         o.cost_ratio for o in _orders_after_look(backlog, ranks, 60, 1.6)
     )
-    # Work with enough free cores is not part of the backlog.
+    # Once there are enough free cores, no work counts as backlog.
     assert not backlog.work_by_queue()
 
 
