--- a/pimentocross/owner/arranger.py
+++ b/pimentocross/owner/arranger.py
@@ -22,7 +22,7 @@
     move_candidate,
 )
 from pimentocross.placement.probes import RETRY_INTERVAL, Probes
-from pimentocross.placement.soundness import may_take_away
+from pimentocross.placement.soundness import may_evict_task
 from pimentocross.work.state import Destination, Run, Step, Task
 
 # Readings come every half second: more often nothing new is known.
@@ -118,7 +118,7 @@
             busy = {n for m in self._moving for n in m.workers}
             # Each step is looked at once, not for each of its tasks.
             steps = {candidate.task.step for candidate in candidates}
-            may_leave = {step for step in steps if may_take_away(step)}
+            may_leave = {step for step in steps if may_evict_task(step)}
             candidates = [
                 candidate
                 for candidate in candidates
--- a/pimentocross/placement/copies.py
+++ b/pimentocross/placement/copies.py
@@ -9,7 +9,7 @@
 
 from typing import Final, NamedTuple
 
-from pimentocross.placement.urgency import Chance
+from pimentocross.placement.urgency import DeadlineClass
 
 # Seconds from the decision until a run begins its work: its record is written
 # and its start is sent to the worker.
@@ -49,7 +49,7 @@
     fresh: float
     undone: int
     width: int
-    chance: Chance
+    chance: DeadlineClass
 
 
 def may_hold_up(undone: int, width: int) -> bool:
@@ -59,7 +59,7 @@
 
 def is_worth_copy(straggler: Straggler) -> bool:
     """True if a copy is likely to end well before the run does."""
-    if straggler.chance >= Chance.HOPELESS:
+    if straggler.chance >= DeadlineClass.HOPELESS:
         return False
     if not may_hold_up(straggler.undone, straggler.width):
         return False
--- a/pimentocross/placement/hosts.py
+++ b/pimentocross/placement/hosts.py
@@ -105,7 +105,7 @@
     cost = (host.free.cpu - spec.size.cpu) / max(host.life.capacity.cpu, 1)
     if spec.target_tail:
         cost += _strangeness(spec.image, host)
-        cost += context.disturbance.added(spec.image, _loads(host))
+        cost += context.disturbance.expected_increase(spec.image, _loads(host))
         cost += _closing(spec, host, context.capacity_value)
     return cost
 
@@ -155,7 +155,7 @@
         return math.inf
     loads = _loads(host)
     loads[spec.image] = loads.get(spec.image, 0.0) + spec.size.cpu / capacity
-    harm = max(disturbance.added(image, loads) for image in serving)
+    harm = max(disturbance.expected_increase(image, loads) for image in serving)
     return fit + 1.0 + harm if harm <= MAX_HARM else math.inf
 
 
@@ -214,16 +214,16 @@
         context: Interference, scarcity and probes of image pairs.
     """
     known, filling = context.disturbance, spec.image
-    retries = context.probes.retries(
+    is_retry_due = context.probes.is_retry_due(
         filling, context.capacity_value.scarcity(filling)
     )
     disturbed = frozenset(
-        image for image in images if known.is_bad(image, filling)
+        image for image in images if known.disturbs(image, filling)
     )
     not_retried = frozenset(
         image
         for image in disturbed
-        if not (retries and known.is_doubtful(image, filling))
+        if not (is_retry_due and known.is_uncertain(image, filling))
     )
     untried = frozenset(
         image for image in images if known.is_untried(image, filling)
--- a/pimentocross/placement/layout.py
+++ b/pimentocross/placement/layout.py
@@ -55,7 +55,7 @@
             found = frozenset(
                 image
                 for image in self._filling
-                if self._disturbance.is_bad(serving, image)
+                if self._disturbance.disturbs(serving, image)
             )
             self._excluded[serving] = found
         return found
@@ -75,7 +75,7 @@
 ) -> bool:
     """True if no serving image is certainly slowed by a best-effort image."""
     for image in serving:  # noqa: SIM110 - a third faster than any().
-        if disturbance.is_bad(image, filling):
+        if disturbance.disturbs(image, filling):
             return False
     return True
 
--- a/pimentocross/placement/weighted.py
+++ b/pimentocross/placement/weighted.py
@@ -68,9 +68,13 @@
         for name, count in worker.classes.items():
             if count <= 0:
                 continue
-            harm = self._interference.added(name, request.class_name, band)
+            harm = self._interference.optimistic_slowdown(
+                name, request.class_name, band
+            )
             cost += self._weight(name) * count * harm
-            suffered = self._interference.added(request.class_name, name, band)
+            suffered = self._interference.optimistic_slowdown(
+                request.class_name, name, band
+            )
             cost += self._weight(request.class_name) * count * suffered
         if request.kind is TaskKind.SERVICE:
             cost += self._colocation_cost(request.class_name, worker)
--- a/tests/test_reclaim.py
+++ b/tests/test_reclaim.py
@@ -9,7 +9,7 @@
 from pimentocross.owner.learned import Learned
 from pimentocross.owner.owner import Owner
 from pimentocross.owner.reclaimer import Reclaimer
-from pimentocross.placement.disturbance import Pair
+from pimentocross.placement.disturbance import PairEstimate
 from pimentocross.placement.moves import MoveCandidate, move_candidate
 from pimentocross.placement.reclaim import choose_evictions, task_limit
 from pimentocross.standins.store import StoreStandin
@@ -197,7 +197,7 @@
     """Submits many steps of an excluded image, then one of another image."""
     store = StoreStandin()
     learned = Learned()
-    pair = Pair("serving", "shut-out", 9.0, 0.1)
+    pair = PairEstimate("serving", "shut-out", 9.0, 0.1)
     learned.disturbance.restore([pair], 0.0)
     record = Record(records.LEARNED, learned.encode())
     await store.client("a").append("jobs", [record], 1.0)
