--- a/bench/wire_parts.py
+++ b/bench/wire_parts.py
@@ -30,7 +30,6 @@
 from pimentocross.links.listener import HttpListener, ListenerLimits
 from pimentocross.observe.lateness import LoopLateness
 from pimentocross.owner.crashes import Crashes
-from pimentocross.owner.doubts import Doubts
 from pimentocross.owner.former_leases import FormerLeases
 from pimentocross.owner.jobs import JobBook
 from pimentocross.owner.keeper import Keeper
@@ -40,7 +39,8 @@
 from pimentocross.owner.listing_pace import ListingPace
 from pimentocross.owner.parts import CellParts
 from pimentocross.owner.patience import CallPatience
-from pimentocross.owner.repeats import Repeats
+from pimentocross.owner.resent_starts import ResentStarts
+from pimentocross.owner.silent_lives import SilentLives
 from pimentocross.owner.terms import OwnerTerms
 from pimentocross.owner.worker import Worker
 from pimentocross.owner.worker_ends import WorkerEnds
@@ -161,10 +161,10 @@
         lambda: None,
         judge,
         listed,
-        Crashes(book, lambda: (), Doubts(ledger), WorkerEnds(ledger)),
+        Crashes(book, lambda: (), SilentLives(ledger), WorkerEnds(ledger)),
         lambda _: True,
         _NoRestarts(),
-        LateStarts(book, ledger, lambda: None, Repeats(1, None, ledger)),
+        LateStarts(book, ledger, lambda: None, ResentStarts(1, None, ledger)),
         FormerLeases(1, (), OwnerTerms(_LEASE), ledger, quiet=True),
     )
 
--- a/pimentocross/owner/absent.py
+++ b/pimentocross/owner/absent.py
@@ -12,7 +12,7 @@
 from pimentocross.observe.decisions import note
 from pimentocross.owner.endings import note_lost
 from pimentocross.owner.former_leases import FormerLeases
-from pimentocross.owner.late_starts import note_id_ended
+from pimentocross.owner.late_starts import clear_late_starts
 from pimentocross.owner.life_numbers import LifeNumbers
 from pimentocross.owner.parts import CellParts
 from pimentocross.owner.worker import Worker
@@ -99,7 +99,7 @@
         del self._by_number[worker.number]
         self._numbers.forget(worker.number)
         if replaced:
-            note_id_ended(worker)
+            clear_late_starts(worker)
             parts.crashes.note_replaced(worker)
         else:
             parts.crashes.note_absent(worker)
--- a/pimentocross/owner/crashes.py
+++ b/pimentocross/owner/crashes.py
@@ -1,4 +1,4 @@
-"""Puts crashes of workers down to the tasks that ran there."""
+"""Attributes worker crashes to the tasks that ran on the crashed worker."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Iterator
@@ -9,9 +9,9 @@
 
 from pimentocross.contracts.worker_link import WorkerLife
 from pimentocross.observe.decisions import note
-from pimentocross.owner.doubts import Doubts
 from pimentocross.owner.jobs import JobBook
 from pimentocross.owner.life_numbers import KnownLife
+from pimentocross.owner.silent_lives import SilentLives
 from pimentocross.owner.worker import RunKey, Worker
 from pimentocross.owner.worker_ends import WorkerEnd, WorkerEnds
 from pimentocross.work.crash_history import (
@@ -26,62 +26,65 @@
 from pimentocross.work.records import DoubtRow
 from pimentocross.work.state import Run, RunState, Task
 
-# Workers of a rack that went within this of each other, in seconds, went
-# together: their ends are learned of as each one's next life answers.
-_TOGETHER: Final = 4.0
+# Workers of one rack that ended within so many seconds of each other count as
+# one outage. Their ends are detected at different times, each when the next
+# life of the VM answers.
+_RACK_OUTAGE_SPAN: Final = 4.0
 
 
-class _Affected(NamedTuple):
-    """A task that may have crashed its worker, and what its run shows."""
+class _AffectedRun(NamedTuple):
+    """A task that may have crashed its worker, and the evidence of its run."""
 
     task: Task
     crash: Crash
 
 
 class Crashes:
-    """Counts crashes by task, and gives up the tasks that cause them.
+    """Counts worker crashes per task and gives up the tasks that cause them.
 
-    A worker that is silent may be cut off; a crash is counted once another life
-    of its machine is known.
+    A worker that doesn't answer may only be cut off from the network, so a
+    crash is counted only once another life of the same VM is known.
     """
 
     def __init__(
         self,
         book: JobBook,
         workers: Callable[[], Iterable[Worker]],
-        doubts: Doubts,
+        silent_lives: SilentLives,
         ends: WorkerEnds,
     ) -> None:
-        """Takes what it goes by.
+        """Initializes the tracker without any crashes.
 
         Args:
-            book: The jobs.
+            book: The jobs of the cell.
             workers: Returns the workers in use.
-            doubts: Where it is recorded what silent workers carried.
-            ends: Where it is recorded which have ended of late.
+            silent_lives: Records which runs silent workers had.
+            ends: Records which workers have ended recently.
         """
         self._book = book
-        self._doubts = doubts
+        self._silent_lives = silent_lives
         self._ends = ends
-        # What a former owner saw of runs whose workers haven't been heard yet.
-        self._foretold: dict[RunKey, Crash] = {}
+        # Crash data that a former owner recorded of runs whose workers haven't
+        # answered this owner yet.
+        self._recorded_crashes: dict[RunKey, Crash] = {}
         self._workers = workers
-        # Runs that lapsed on silent workers, until those are heard or replaced.
-        self._lapsed: dict[Worker, list[_Affected]] = {}
-        # Lives that are gone and have no successor yet, by machine.
-        self._unreplaced: dict[str, tuple[KnownLife, list[_Affected]]] = {}
-        # Likely crashes of each task among those that lapsed.
+        # Runs whose lease lapsed on silent workers, until the worker answers or
+        # is replaced.
+        self._lapsed: dict[Worker, list[_AffectedRun]] = {}
+        # Lives that were given up and have no successor yet, by VM.
+        self._unreplaced: dict[str, tuple[KnownLife, list[_AffectedRun]]] = {}
+        # Number of likely crashes per task among the lapsed runs.
         self._undecided: Counter[Task] = Counter()
 
     def adopt(self, workers: Iterable[Worker]) -> None:
-        """Takes over what a former owner had seen of silent workers.
+        """Restores what a former owner recorded about silent workers.
 
         Args:
-            workers: All that may run something, listed or not. Their runs have
-                to be tied to them.
+            workers: All workers that may run something, listed or not. Their
+                runs must already be assigned to them.
         """
         known = list(workers)
-        for life, rows in self._doubts.restored():
+        for life, rows in self._silent_lives.restored():
             self._adopt(life, rows, known)
         for worker in known:
             if worker.listed:
@@ -97,43 +100,43 @@
                 continue
             crash = Crash(row.run, row.lived, row.sure, row.isolated)
             if row.run in task.runs:
-                self._foretold[task, row.run] = crash
+                self._recorded_crashes[task, row.run] = crash
             else:
-                lapsed.append(_Affected(task, crash))
+                lapsed.append(_AffectedRun(task, crash))
         if not lapsed:
             return
         for worker in known:
             same = worker.life.id == life.id
             if same and not worker.life.is_after(life.born):
-                self._lapse(worker, lapsed)
+                self._add_lapsed(worker, lapsed)
                 return
         if life.machine:
             self._unreplaced[life.machine] = (life, lapsed)
 
     def note_silent(self, worker: Worker) -> None:
-        """Records what may have crashed a worker that has fallen silent."""
-        # One that drains is expected to leave; what ran on one that was never
-        # heard is for a former owner to tell.
+        """Records the runs that may have crashed a worker that went silent."""
+        # A draining worker is expected to leave. What ran on a worker that
+        # never answered this owner is known to the former owner alone.
         if worker.life.draining or worker.heard_at == float("-inf"):
             return
         rows = [
             DoubtRow(
                 task.name, crash.run, crash.lived, crash.sure, crash.isolated
             )
-            for task, crash in self._seen(worker)
+            for task, crash in self._observed_runs(worker)
             if crash.is_early or task.crash_history.crashes
         ]
-        self._doubts.note_silent(worker.life, rows)
+        self._silent_lives.note_silent(worker.life, rows)
 
     def sweep(self) -> None:
-        """Forgets what is too old to be decided."""
-        self._doubts.sweep()
+        """Drops records of silent workers that are too old to be resolved."""
+        self._silent_lives.sweep()
 
     def note_lapsed(self, worker: Worker) -> None:
-        """Remembers what ran on a silent worker that may have crashed."""
-        self._lapse(worker, self._affected(worker))
+        """Keeps the lapsed runs of a silent worker that may have crashed."""
+        self._add_lapsed(worker, self._affected_runs(worker))
 
-    def _lapse(self, worker: Worker, affected: list[_Affected]) -> None:
+    def _add_lapsed(self, worker: Worker, affected: list[_AffectedRun]) -> None:
         self._lapsed.setdefault(worker, []).extend(affected)
         until = trio.current_time() + HELD_MOST
         for task, crash in affected:
@@ -142,50 +145,52 @@
             if task.crash_history.holds(self._undecided[task]):
                 task.not_before = until
 
-    def note_heard(self, worker: Worker) -> None:
-        """Notes that a worker lives which was silent, or is heard first."""
-        self._doubts.settle(worker.life.id)
-        if self._foretold:
+    def note_responding(self, worker: Worker) -> None:
+        """Handles a worker's first answer, also the first after a silence."""
+        self._silent_lives.forget(worker.life.id)
+        if self._recorded_crashes:
             for key in worker.runs:
-                self._foretold.pop(key, None)
-        self._decide(self._lapsed.pop(worker, []))
+                self._recorded_crashes.pop(key, None)
+        self._release_waiting(self._lapsed.pop(worker, []))
 
     def note_replaced(self, worker: Worker) -> None:
-        """Notes that a life has ended, as another one took its place.
+        """Counts a crash, as another life has taken the place of this one.
 
-        Its runs have to be tied to it still.
+        Args:
+            worker: The life that has ended. Its runs must still be assigned
+                to it.
         """
         lapsed = self._lapsed.pop(worker, [])
-        # One that drained was expected to leave; one that a former owner saw
-        # end, whose entry is listed still, tells nothing of the present.
+        # A draining worker was expected to leave. The entry of a worker may
+        # still be listed after a former owner saw it end: that end isn't new.
         if worker.was_up and not worker.life.draining:
-            self._count(worker, [*lapsed, *self._affected(worker)])
-        self._doubts.settle(worker.life.id)
-        self._decide(lapsed)
+            self._record_crash(worker, [*lapsed, *self._affected_runs(worker)])
+        self._silent_lives.forget(worker.life.id)
+        self._release_waiting(lapsed)
 
     def note_absent(self, worker: Worker) -> None:
-        """Notes that a life is given up, how it ended not being known."""
+        """Handles a life that is given up without knowing how it ended."""
         lapsed = self._lapsed.pop(worker, [])
         life = worker.life
-        affected = [*lapsed, *self._affected(worker)]
+        affected = [*lapsed, *self._affected_runs(worker)]
         if affected and life.machine and not life.draining:
             known = KnownLife(life.id, life.machine, life.born)
             self._unreplaced[life.machine] = (known, affected)
         else:
-            self._doubts.settle(life.id)
-        self._decide(lapsed)
+            self._silent_lives.forget(life.id)
+        self._release_waiting(lapsed)
 
     def note_listed(self, life: WorkerLife) -> None:
-        """Notes a life that is listed, maybe the next one of a machine."""
+        """Counts the crash of a former life as the VM's next one is listed."""
         if life.machine not in self._unreplaced:
             return
         former, affected = self._unreplaced.pop(life.machine)
-        self._doubts.settle(former.id)
+        self._silent_lives.forget(former.id)
         if former.id != life.id or life.is_after(former.born):
-            self._judge(former.id, affected, in_outage=False)
+            self._attribute_crash(former.id, affected, in_outage=False)
 
-    def _decide(self, lapsed: list[_Affected]) -> None:
-        """Lets tasks start that waited for what became of these."""
+    def _release_waiting(self, lapsed: list[_AffectedRun]) -> None:
+        """Lets tasks start that waited until these crashes were resolved."""
         now = trio.current_time()
         for task, crash in lapsed:
             if not crash.is_early:
@@ -197,15 +202,16 @@
                 del self._undecided[task]
 
     def note_ended(self, task: Task, run: Run | None) -> None:
-        """Clears a task of which a run ended in another way than by a crash."""
+        """Clears a task's crashes after a run that ended without a crash."""
         if run is not None and task.crash_history.crashes:
             task.crash_history = NO_CRASHES
             self._book.note_crashes(task.step.job)
 
     def note_listed_runs(self, worker: Worker) -> None:
-        """Clears tasks whose runs live, and lets others start beside them.
+        """Clears tasks whose runs have lived long enough, and ends isolation.
 
-        It is recorded at once: a new owner can't tell how long they lived.
+        The change is recorded at once, as a new owner doesn't know for how long
+        the runs had lived.
         """
         for task, number in list(worker.suspects):
             former, run = task.crash_history, worker.runs[task, number]
@@ -218,50 +224,55 @@
                 worker.suspects.discard((task, number))
         worker.end_isolation()
 
-    def _affected(self, worker: Worker) -> list[_Affected]:
+    def _affected_runs(self, worker: Worker) -> list[_AffectedRun]:
         return [
-            _Affected(task, self._crash_of(worker, task, run))
+            _AffectedRun(task, self._crash_of(worker, task, run))
             for (task, _), run in worker.runs.items()
             if run.state is not RunState.DECIDED
         ]
 
     def _crash_of(self, worker: Worker, task: Task, run: Run) -> Crash:
         crash = _crash_of(worker, task, run)
-        if not _is_unheard(run):
+        if not _is_unconfirmed(run):
             return crash
-        foretold = self._foretold.get((task, run.number))
-        if foretold is not None:
-            return foretold
-        if self._doubts.knows(worker.life):
-            # All that had just started there is recorded.
+        recorded = self._recorded_crashes.get((task, run.number))
+        if recorded is not None:
+            return recorded
+        if self._silent_lives.has_record(worker.life):
+            # The record holds every run that had just started there, so this
+            # one had lived longer.
             return crash._replace(lived=max(crash.lived, PROVEN_AFTER))
         return crash
 
-    def _seen(self, worker: Worker) -> Iterator[_Affected]:
-        """Yields those of which this owner or a former one has seen it."""
-        for found in self._affected(worker):
+    def _observed_runs(self, worker: Worker) -> Iterator[_AffectedRun]:
+        """Yields the runs that this owner saw live or has a record of."""
+        for found in self._affected_runs(worker):
             key = (found.task, found.crash.run)
-            if key in self._foretold or not _is_unheard(worker.runs[key]):
+            if key in self._recorded_crashes or not _is_unconfirmed(
+                worker.runs[key]
+            ):
                 yield found
 
-    def _count(self, worker: Worker, affected: list[_Affected]) -> None:
+    def _record_crash(
+        self, worker: Worker, affected: list[_AffectedRun]
+    ) -> None:
         in_outage = self._is_outage(worker)
         explained = any(found.crash.is_early for found in affected)
         rack = worker.life.rack
-        self._ends.note(WorkerEnd(_gone_at(worker), rack, explained))
+        self._ends.note(WorkerEnd(_ended_at(worker), rack, explained))
         note(
             "worker_crashed",
             worker=worker.life.id,
             runs=len(affected),
             outage=in_outage,
         )
-        self._judge(worker.life.id, affected, in_outage)
+        self._attribute_crash(worker.life.id, affected, in_outage)
 
     def _is_outage(self, worker: Worker) -> bool:
-        """True if a worker may have crashed for another reason than its tasks.
+        """Returns whether a worker may have crashed independently of its tasks.
 
-        One of its rack went too, on which nothing had just started, or many
-        such workers anywhere.
+        That is so if another worker of its rack ended on which nothing had just
+        started, or if many such workers ended anywhere in the cell.
         """
         now, rack = trio.current_time(), worker.life.rack
         unexplained = [e for e in self._ends.recent() if not e.explained]
@@ -269,7 +280,7 @@
         if is_outage((e.at for e in unexplained), len(workers)):
             return True
         if any(
-            ended.rack == rack and ended.at >= now - _TOGETHER
+            ended.rack == rack and ended.at >= now - _RACK_OUTAGE_SPAN
             for ended in unexplained
         ):
             return True
@@ -279,19 +290,24 @@
             and not other.gone
             and other.was_up
             and other is not worker
-            and not any(found.crash.is_early for found in self._affected(other))
+            and not any(
+                found.crash.is_early for found in self._affected_runs(other)
+            )
             for other in workers
         )
 
-    def _hazard_beside(self, task: Task) -> float:
-        """Returns ends of workers, a second and worker, but for a task's."""
+    def _background_hazard(self, task: Task) -> float:
+        """Returns the rate of worker ends that a task didn't cause.
+
+        The unit is ends per second and worker.
+        """
         workers = sum(1 for _ in self._workers())
         own = task.crash_history.crashes + 1
         others = max(len(self._ends.recent()) - own, 0)
         return others / (OUTAGE_SPAN * max(workers, 1))
 
-    def _judge(
-        self, life: str, affected: list[_Affected], in_outage: bool
+    def _attribute_crash(
+        self, life: str, affected: list[_AffectedRun], in_outage: bool
     ) -> None:
         for task, found in affected:
             job = task.step.job
@@ -299,7 +315,7 @@
                 continue
             crash = found._replace(
                 in_outage=in_outage,
-                hazard=max(found.hazard, self._hazard_beside(task)),
+                hazard=max(found.hazard, self._background_hazard(task)),
             )
             lasting = task.step.spec.lasting
             former, task.crash_history = (
@@ -330,28 +346,29 @@
 
 
 def _is_sure(worker: Worker, run: Run) -> bool:
-    """True if a worker went soon after a run had surely begun there."""
+    """Returns whether a worker ended soon after a run had surely begun."""
     if run.state is not RunState.RUNNING:
         return False
-    return _gone_at(worker) - run.state_at <= SURE_WITHIN
+    return _ended_at(worker) - run.state_at <= SURE_WITHIN
 
 
-def _gone_at(worker: Worker) -> float:
-    """Returns when a worker that has ended went at the latest, monotonic."""
+def _ended_at(worker: Worker) -> float:
+    """Returns the latest monotonic time at which a worker may have ended."""
     return trio.current_time() if worker.reached else worker.silent_at
 
 
-def _is_unheard(run: Run) -> bool:
-    """True if a former owner has started a run, and this one heard nothing."""
+def _is_unconfirmed(run: Run) -> bool:
+    """Returns whether a former owner's run was never listed to this owner."""
     return run.is_adopted and not run.began_at
 
 
 def _crash_of(worker: Worker, task: Task, run: Run) -> Crash:
-    """Returns what the end of a worker says of a run.
+    """Returns the evidence that the end of a worker gives about a run.
 
-    How long a former owner saw a run live that was not listed to this one isn't
-    known, nor how often workers ended then. If it had outlived the crashes
-    before it, which is recorded, this one may have any cause.
+    For a run that was never listed to this owner, neither the time that a
+    former owner saw it live nor the rate of worker ends at that time is known.
+    If the task's record says that a run of it had outlived the earlier crashes,
+    this crash may have any cause.
     """
     history = task.crash_history
     crash = Crash(
@@ -360,7 +377,7 @@
         _is_sure(worker, run),
         (task, run.number) in worker.isolated,
     )
-    if _is_unheard(run) and history.crashes and not history.early:
+    if _is_unconfirmed(run) and history.crashes and not history.early:
         lived = max(history.survived, crash.lived)
         return crash._replace(lived=lived, hazard=math.inf)
     return crash
--- a/pimentocross/owner/former_leases.py
+++ b/pimentocross/owner/former_leases.py
@@ -1,11 +1,12 @@
-"""How long leases that former owners granted may last on each worker.
-
-Failure pattern: owners follow one another while workers leave. What ran there
-has to wait until its lease has surely ended; counted anew from each take-over,
-that wait has no end. So each owner records on which workers leases may last of
-which its own calls don't tell, and for how long. Its successor goes on from
-there. The record tells seconds that are left, not moments: clocks of VMs
-differ. What passes between the last record and the take-over isn't counted.
+"""Bounds how long leases that former owners granted may last on each worker.
+
+Failure pattern: owners follow one another while workers leave. Tasks that ran
+there must wait until their lease has surely ended, and if each owner counted
+that wait from its own take-over it would never end. Each owner therefore
+records the workers on which leases may last that its own calls don't show, and
+for how long, and its successor continues from this record. The record holds the
+seconds that are left rather than points in time, as the clocks of VMs differ.
+The time between the last record and the take-over isn't subtracted.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -23,11 +24,11 @@
 
 
 class Predecessor(NamedTuple):
-    """An owner of before.
+    """A former owner of the cell.
 
     Attributes:
-        epoch: Of its claim.
-        ended: Whether it surely renews no lease any more.
+        epoch: The epoch of its claim.
+        ended: Whether it surely renews no leases any more.
     """
 
     epoch: int
@@ -35,7 +36,7 @@
 
 
 class FormerLeases:
-    """Bounds of leases that former owners granted, and their record."""
+    """Bounds on leases that former owners granted, and their record."""
 
     def __init__(
         self,
@@ -46,101 +47,124 @@
         *,
         quiet: bool,
     ) -> None:
-        """Takes who owned before, the newest first.
+        """Initializes the bounds from the known former owners.
 
         Args:
-            epoch: Of the owner here.
-            predecessors: As many as are known.
-            terms: Bound leases and renewals.
-            ledger: Where the record goes.
-            quiet: Whether surely no former owner renews leases any more, told
-                by the newest claim alone.
+            epoch: The epoch of this owner.
+            predecessors: The former owners, the newest first, as far as known.
+            terms: The limits for leases and renewals.
+            ledger: Writes the record.
+            quiet: Whether surely no former owner renews leases any more,
+                according to the newest claim alone.
         """
         self._epoch = epoch
         self._terms = terms
         self._ledger = ledger
         self._quiet = quiet
         self._predecessors = list(predecessors)
-        self._is_related = False
+        self._record_applies = False
         self._former: LeasesRecord | None = None
         self._rows: dict[int, LeaseRow] = {}
-        # Epochs of the owners whose leases the rows are about, if known.
-        self._rows_of: set[int] = set()
+        # Epochs of the owners that granted the leases in the rows, if known.
+        self._rows_granted_by: set[int] = set()
         self._began = math.inf
-        # Until when leases of each predecessor may last, monotonic, by epoch.
-        self._until: dict[int, float] = {}
+        # Monotonic time until which the leases of each predecessor may last, by
+        # epoch.
+        self._lease_until: dict[int, float] = {}
         self._list_rows: Callable[[], Iterable[LeaseRow]] = tuple
         self._record = PlainRecord(records.LEASES, self._encode)
-        self._has_told_rows = False
+        self._has_recorded_rows = False
 
     def restore(self, value: bytes) -> None:
-        """Takes in the newest record of a former owner.
+        """Restores the newest record of a former owner.
 
         Raises:
-            RecordError: It is of another form.
+            RecordError: The record has an unknown format.
         """
         self._former = records.decode_leases(value)
 
     def begin(self) -> None:
-        """Counts from now on, as no former owner can write any more."""
+        """Starts all waits now, as no former owner can write any more."""
         self._began = trio.current_time()
-        self._until = {
-            former.epoch: self._began + self._lasts(former.ended)
+        self._lease_until = {
+            former.epoch: self._began + self._longest_lease(former.ended)
             for former in self._predecessors
         }
 
-    def relate(self) -> None:
-        """Relates what a former owner has recorded to who owned since."""
+    def apply_former_record(self) -> None:
+        """Applies the restored record if a known predecessor wrote it.
+
+        Its rows cover the leases of all owners before that predecessor.
+        """
         former, known = self._former, self._predecessors
         epochs = [predecessor.epoch for predecessor in known]
         if former is not None and former.epoch in epochs:
             del known[epochs.index(former.epoch) + 1 :]
             self._rows = {row.number: row for row in former.rows}
-            self._rows_of = set(former.formers)
-            self._is_related = True
+            self._rows_granted_by = set(former.formers)
+            self._record_applies = True
 
-    def begin_record(self, list_rows: Callable[[], Iterable[LeaseRow]]) -> None:
-        """Begins a record of its own, now that all lives are known.
+    def start_recording(
+        self, list_rows: Callable[[], Iterable[LeaseRow]]
+    ) -> None:
+        """Starts this owner's record. All worker lives must be known.
 
         Args:
-            list_rows: Returns its rows.
+            list_rows: Returns the rows of the record.
         """
         self._list_rows = list_rows
         self.record()
 
     def until(self, number: int) -> float:
-        """Returns until when leases may last on a life, monotonic."""
-        if not self._is_related:
-            # Anybody may have granted anything.
-            return self._began + self._lasts(self._quiet and self._have_ended())
+        """Returns the time until which leases may last on a worker life.
+
+        Args:
+            number: The number of the life.
+
+        Returns:
+            The monotonic time.
+        """
+        if not self._record_applies:
+            # Without a valid record any former owner may have granted leases.
+            return self._began + self._longest_lease(
+                self._quiet and self._all_have_ended()
+            )
         row = self._rows.get(number)
-        granted = self._predecessors
+        grantors = self._predecessors
         if row is not None and row.barred:
-            # Whoever wrote the record granted nothing there.
-            granted = granted[:-1]
-        untils = [self._until[former.epoch] for former in granted]
+            # The owner that wrote the record, the oldest one here, granted no
+            # leases there.
+            grantors = grantors[:-1]
+        untils = [self._lease_until[former.epoch] for former in grantors]
         if row is not None:
             untils.append(self._row_until(row))
         return max(untils, default=self._began)
 
     def _row_until(self, row: LeaseRow) -> float:
         until = self._began + row.left
-        if not self._rows_of or not self._rows_of <= self._until.keys():
+        if (
+            not self._rows_granted_by
+            or not self._rows_granted_by <= self._lease_until.keys()
+        ):
             return until
-        # Those owners may have ended since the row was written.
-        return min(until, max(self._until[epoch] for epoch in self._rows_of))
+        # The owners that granted the leases may have ended after the row was
+        # written, which shortens the wait.
+        return min(
+            until,
+            max(self._lease_until[epoch] for epoch in self._rows_granted_by),
+        )
 
     def note_ended(self, epoch: int) -> None:
-        """Notes that a former owner surely renews no lease any more."""
-        if epoch in self._until:
+        """Notes that a former owner surely renews no leases any more."""
+        if epoch in self._lease_until:
             until = trio.current_time() + self._terms.lease_most
-            self._until[epoch] = min(self._until[epoch], until)
+            self._lease_until[epoch] = min(self._lease_until[epoch], until)
             note("former_owner_ended", epoch=self._epoch, former=epoch)
 
     def bar(self, worker: Worker) -> None:
-        """Lets nothing run on a worker that nobody hears.
+        """Bars a worker that doesn't answer from running anything.
 
-        It seems to have left, or this owner never heard it.
+        It seems to have left, or it never answered this owner.
         """
         if not worker.barred:
             worker.barred = True
@@ -148,43 +172,50 @@
             self.record()
 
     def clear(self, worker: Worker) -> None:
-        """Lets a worker be used again once the record doesn't bar it."""
+        """Lifts the bar. The worker is usable once the new record is stored."""
         worker.barred = False
         worker.cleared = self.record()
 
     def record(self) -> trio.Event:
-        """Has the record written; returns what is set once it is stored."""
+        """Writes the record; returns an event that is set once it is stored."""
         return self._ledger.put(self._record).stored
 
     def refresh(self) -> None:
-        """Has the record written if its rows tell less time by now."""
-        if self._has_told_rows:
+        """Rewrites the record with the time that is left by now."""
+        if self._has_recorded_rows:
             self._ledger.put_with_next(self._record)
 
-    def _have_ended(self) -> bool:
-        """True if all owners of before that are known had ended at once."""
+    def _all_have_ended(self) -> bool:
+        """Returns whether all known former owners had ended by the claim."""
         return all(former.ended for former in self._predecessors)
 
-    def _lasts(self, ended: bool) -> float:
-        """Returns for how many seconds leases of a former owner may last."""
+    def _longest_lease(self, ended: bool) -> float:
+        """Returns the most seconds that leases of a former owner may last."""
         return self._terms.lease_most if ended else self._terms.loud_for
 
     def _encode(self) -> bytes:
         rows = list(self._list_rows())
-        self._has_told_rows = bool(rows)
+        self._has_recorded_rows = bool(rows)
         return records.encode_leases(self._epoch, rows, self._formers_of(rows))
 
     def _formers_of(self, rows: Sequence[LeaseRow]) -> list[int]:
-        """Returns whose leases may last there; none if that isn't known."""
-        if not self._is_related:
+        """Returns the epochs of the owners whose leases may last.
+
+        Args:
+            rows: The worker lives that are recorded.
+
+        Returns:
+            The epochs, or nothing if they aren't known.
+        """
+        if not self._record_applies:
             return []
         now = trio.current_time()
         found = {former.epoch for former in self._predecessors}
         former_rows = (self._rows.get(row.number) for row in rows)
         if any(row and self._began + row.left > now for row in former_rows):
-            if not self._rows_of:
+            if not self._rows_granted_by:
                 return []
-            found |= self._rows_of
+            found |= self._rows_granted_by
         return sorted(
-            epoch for epoch in found if self._until.get(epoch, now) >= now
+            epoch for epoch in found if self._lease_until.get(epoch, now) >= now
         )
--- a/pimentocross/owner/isolation.py
+++ b/pimentocross/owner/isolation.py
@@ -1,4 +1,4 @@
-"""Isolates tasks under which workers have crashed."""
+"""Isolates tasks that may have crashed the workers they ran on."""
 
 from collections.abc import Sequence
 import itertools
@@ -9,37 +9,41 @@
 from pimentocross.placement.host import allows
 from pimentocross.work.state import Task
 
-# A task is isolated on one of so many workers that would lose the least.
-_CHOSEN_AMONG: Final = 3
-# So many workers with room are looked at for a task: after a rack's outage many
-# tasks wait to be isolated in one pass.
-_LOOKED_AT: Final = 32
+# A task is isolated on one of the workers with the fewest runs, as these lose
+# the least if it crashes them.
+_CANDIDATES_MOST: Final = 3
+# Limits the work per task: after the outage of a rack many tasks wait to be
+# isolated in one pass.
+_CHECKED_MOST: Final = 32
 
 
 class Isolation:
-    """Finds workers whose crash would be the doing of one task."""
+    """Finds workers whose crash could be attributed to a single task."""
 
     def __init__(self) -> None:
-        """Has isolated nothing yet."""
-        self._wanted_since: WeakKeyDictionary[Task, float] = WeakKeyDictionary()
+        """Initializes the search without any waiting tasks."""
+        self._waiting_since: WeakKeyDictionary[Task, float] = (
+            WeakKeyDictionary()
+        )
 
     def find(self, task: Task, workers: Sequence[Worker]) -> list[Worker]:
         """Returns workers on which a task may be isolated, the best first.
 
-        Nothing of another job may have only just started there.
+        A worker on which a run of another job has only just started is left
+        out, as its crash could have two causes.
         """
         step = task.step
-        able = [worker for worker in workers if allows(worker, step)]
-        able.sort(key=lambda worker: len(worker.runs))
-        proven = (w for w in able[:_LOOKED_AT] if w.is_proven(step.job))
-        return list(itertools.islice(proven, _CHOSEN_AMONG))
+        allowed = [worker for worker in workers if allows(worker, step)]
+        allowed.sort(key=lambda worker: len(worker.runs))
+        proven = (w for w in allowed[:_CHECKED_MOST] if w.is_proven(step.job))
+        return list(itertools.islice(proven, _CANDIDATES_MOST))
 
-    def is_due(self, task: Task, now: float) -> bool:
-        """True once a task has waited to be isolated for too long."""
+    def has_waited_too_long(self, task: Task, now: float) -> bool:
+        """Returns whether a task has waited too long to be isolated."""
         lasting = task.step.spec.lasting
         patience = task.crash_history.patience(lasting=lasting)
-        return now - self._wanted_since.setdefault(task, now) >= patience
+        return now - self._waiting_since.setdefault(task, now) >= patience
 
     def note_placed(self, task: Task) -> None:
-        """Notes that a task waits no longer."""
-        self._wanted_since.pop(task, None)
+        """Ends the wait of a task that was placed."""
+        self._waiting_since.pop(task, None)
--- a/pimentocross/owner/keeper.py
+++ b/pimentocross/owner/keeper.py
@@ -17,7 +17,7 @@
 from pimentocross.observe.decisions import note
 from pimentocross.owner import const
 from pimentocross.owner.endings import apply_ending, note_lost
-from pimentocross.owner.late_starts import may_be_repeated, note_id_ended
+from pimentocross.owner.late_starts import clear_late_starts, may_resend_start
 from pimentocross.owner.ledger import Batch
 from pimentocross.owner.parts import CellParts, Stops
 from pimentocross.owner.worker import Worker
@@ -104,7 +104,7 @@
         worker.gone = True
         worker.replaced = replaced
         if replaced:
-            note_id_ended(worker)
+            clear_late_starts(worker)
             self._parts.crashes.note_replaced(worker)
         else:
             self._parts.crashes.note_absent(worker)
@@ -224,9 +224,9 @@
         if not worker.reached:
             note("worker_heard", worker=worker.life.id)
             worker.reached = True
-            self._parts.crashes.note_heard(worker)
+            self._parts.crashes.note_responding(worker)
         elif not worker.adopted:
-            self._parts.crashes.note_heard(worker)
+            self._parts.crashes.note_responding(worker)
         if worker.barred:
             self._parts.former_leases.clear(worker)
         if worker.lease_end is None:
@@ -293,7 +293,7 @@
     def _take_unexpected(self, task: Task, number: int) -> Run:
         """Takes in a run that is listed though it was not expected there."""
         worker = self._worker
-        held = self._parts.late_starts.take_held(task, number, worker)
+        held = self._parts.late_starts.attach_held(task, number, worker)
         if held is not None:
             return held
         wanted = task.waiting and not task.step.job.ended
@@ -330,7 +330,7 @@
             task = self._parts.book.find_task(ending.task)
             if task is None:
                 continue
-            self._parts.late_starts.take_held(task, ending.run, self._worker)
+            self._parts.late_starts.attach_held(task, ending.run, self._worker)
             run = apply_ending(task, ending, self._worker)
             if run is not None:
                 run.note_start_settled()
@@ -369,7 +369,7 @@
         return (
             run.state is RunState.UNSURE
             and run.may_come_late(trio.current_time())
-            and may_be_repeated(task)
+            and may_resend_start(task)
             # It may have crashed the former life, which would count once only.
             and not self._worker.follows
             and (
--- a/pimentocross/owner/late_starts.py
+++ b/pimentocross/owner/late_starts.py
@@ -1,14 +1,14 @@
 """Keeps a task from running twice when its start is carried out late.
 
 Failure pattern: a worker leaves a start unanswered, crashes and starts again
-under the id that it had. The new life has heard no fencing token, its clock is
-behind every deadline and nothing in the order tells lives of one id apart. So
-until the new life has had an order of its owner, it carries the old one out,
-also if the task has run elsewhere meanwhile. Such a task starts nowhere else
-before the order can't be carried out any more.
-
-Where workers don't tell when they were born, an id names one life, and nothing
-of this is needed.
+under the same id. The new life has received no fencing token, its clock is
+behind every deadline, and nothing in the order distinguishes the lives of one
+id. Until the new life has received an order of its owner, it therefore carries
+out the old one, even if the task has run elsewhere meanwhile. Such a task isn't
+started elsewhere until the order can no longer be carried out.
+
+Where workers don't report when they were born, an id names a single life and
+none of this is needed.
 """
 
 from collections.abc import Callable
@@ -21,93 +21,98 @@
 from pimentocross.owner.endings import drop_run
 from pimentocross.owner.jobs import JobBook
 from pimentocross.owner.ledger import Ledger, PlainRecord
-from pimentocross.owner.repeats import Repeats
+from pimentocross.owner.resent_starts import ResentStarts
 from pimentocross.owner.worker import RunKey, Worker
 from pimentocross.work import records
 from pimentocross.work.records import LateStart
 from pimentocross.work.spec import TaskName
 from pimentocross.work.state import Run, RunState, Task
 
-_ON_ITS_WAY = (RunState.DECIDED, RunState.SENT)
+_IN_FLIGHT = (RunState.DECIDED, RunState.SENT)
 
 
-def may_be_repeated(task: Task) -> bool:
-    """True if a start that wasn't answered may be sent again.
+def may_resend_start(task: Task) -> bool:
+    """Returns whether a start that wasn't answered may be sent again.
 
-    What lasts would else be away until the first one can't come late any more.
-    Where that comes all the same, the run is there already. Other runs end, and
-    one that comes after the end was taken note of would do all again.
+    Otherwise a lasting task would be down until its first start can no longer
+    be carried out. If that start is carried out late after all, the run exists
+    already. Other runs end, and a start that is carried out after the end was
+    recorded would do all the work again.
     """
     spec = task.step.spec
     asks_adviser = task.step.job.queue.asks_adviser
     return spec.lasting and not spec.gang and not asks_adviser
 
 
-def note_id_ended(worker: Worker) -> None:
-    """Settles the starts of a worker whose machine has another id by now.
+def clear_late_starts(worker: Worker) -> None:
+    """Marks the starts of a worker as settled, as its VM has another id now.
 
-    Orders that name the former one are refused there.
+    The VM refuses orders that name the former id.
     """
     for run in worker.runs.values():
         run.late_until = 0.0
 
 
 class LateStarts:
-    """Follows starts from their decision on until they can't be carried out."""
+    """Tracks starts from the decision until they can't be carried out."""
 
     def __init__(
         self,
         book: JobBook,
         ledger: Ledger,
         wake: Callable[[], None],
-        repeats: Repeats,
+        resent_starts: ResentStarts,
     ) -> None:
-        """Takes what it goes by.
+        """Initializes the tracker without any starts.
 
         Args:
-            book: The jobs.
-            ledger: Where to record.
-            wake: Has decisions made anew.
-            repeats: Starts that may have been sent more than once.
+            book: The jobs of the cell.
+            ledger: Writes the record.
+            wake: Triggers another dispatch pass.
+            resent_starts: Starts that may have been sent more than once.
         """
-        self._repeats = repeats
+        self._resent_starts = resent_starts
         self._book = book
         self._wake = wake
         self._ledger = ledger
         self._record = PlainRecord(records.LATE_STARTS, self._encode)
-        # Runs whose starts may be carried out yet, and some that are settled.
-        self._open: dict[RunKey, Run] = {}
-        # What a former owner has recorded, or None if it hasn't.
+        # Runs whose starts may still be carried out. Settled ones are removed
+        # when the record is next written.
+        self._unsettled: dict[RunKey, Run] = {}
+        # Seconds left of each start that a former owner recorded, or None if
+        # there is no record.
         self._former: dict[tuple[TaskName, int], float] | None = None
-        # Given by `open`.
+        # Starts a background task of the owner; set by `open`.
         self._start_soon: Callable[..., None]
 
     def open(self, start_soon: Callable[..., None]) -> None:
-        """Takes what runs the owner's tasks, before all else."""
+        """Sets how to start background tasks. Must be called first."""
         self._start_soon = start_soon
         former = PlainRecord(records.FORMER_LATE_STARTS, lambda: None)
         self._ledger.put_with_next(former)
 
     def restore(self, value: bytes) -> None:
-        """Takes in what a former owner has recorded.
+        """Restores the record of a former owner.
 
         Raises:
-            RecordError: It is of another form.
+            RecordError: The record has an unknown format.
         """
         rows = records.decode_late_starts(value)
         self._former = {(row.task, row.run): row.left for row in rows}
 
     def adopt(self, task: Task, run: Run, life: WorkerLife | None) -> None:
-        """Takes over a run that a former owner had decided on.
+        """Adopts a run that a former owner had decided on.
 
         Args:
             task: The run's task.
             run: The run, as it was recorded.
-            life: Where it was to start, None if that isn't known any more.
+            life: The worker life that it was to start on, None if no longer
+                known.
         """
         left = (self._former or {}).get((task.name, run.number))
         if left is None:
-            # Its start was answered, or a former version doesn't tell.
+            # The start was answered, or the former owner was of a version that
+            # doesn't record late starts.
             task.note_begun()
             if self._former is not None:
                 return
@@ -116,47 +121,47 @@
         left = min(left or const.ADOPTED_LATE_MOST, const.ADOPTED_LATE_MOST)
         run.late_until = trio.current_time() + left
         run.starts_sent = 1
-        if may_be_repeated(task) and not self._repeats.were_sent_once(
-            task, run
-        ):
+        if may_resend_start(
+            task
+        ) and not self._resent_starts.was_sent_at_most_once(task, run):
             run.starts_sent = 2
-            self._repeats.adopt(task, run)
-        self._open[task, run.number] = run
+            self._resent_starts.adopt(task, run)
+        self._unsettled[task, run.number] = run
         self._ledger.put_with_next(self._record)
 
-    def was_open(self, task: Task, run: Run) -> bool:
-        """True if a former owner has recorded that a start may come late."""
+    def was_unsettled(self, task: Task, run: Run) -> bool:
+        """Returns whether a former owner recorded a start as unsettled."""
         return self._former is not None and (
             (task.name, run.number) in self._former
         )
 
     def adopt_held(self, task: Task, run: Run) -> None:
-        """Takes over a run that a former owner held: its life has ended."""
+        """Adopts a held run of a former owner. Its worker life has ended."""
         self.adopt(task, run, None)
         task.drop_run(run.number)
         self.hold(task, run)
 
     def note_decided(self, task: Task, run: Run, life: WorkerLife) -> None:
-        """Has a start recorded with its decision, before it is sent."""
+        """Records a start together with its decision, before it is sent."""
         if life.born:
-            self._open[task, run.number] = run
+            self._unsettled[task, run.number] = run
             self._ledger.put(self._record)
 
-    def note_repeated(self, task: Task, run: Run) -> trio.Event:
-        """Has it recorded that a start is to be sent again.
+    def record_resend(self, task: Task, run: Run) -> trio.Event:
+        """Records that a start is about to be sent again.
 
         Returns:
-            Set once it may be.
+            An event that is set once the start may be sent.
         """
-        return self._repeats.note(task, run)
+        return self._resent_starts.note(task, run)
 
     def note_sent(self, run: Run, life: WorkerLife, timeout: float) -> None:
-        """Notes that a start is on its way.
+        """Notes that a start is being sent.
 
         Args:
             run: The run.
-            life: Where it is sent.
-            timeout: Seconds for which the answer is waited for.
+            life: The worker life that it is sent to.
+            timeout: Seconds to wait for the answer.
         """
         run.starts_sent += 1
         if life.born:
@@ -164,28 +169,29 @@
             run.late_until = max(run.late_until, until)
 
     def note_answered(self) -> None:
-        """Has it recorded that no answer to a start is waited for any more."""
-        if self._open:
+        """Records that a start is no longer waiting for its answer."""
+        if self._unsettled:
             self._ledger.put_with_next(self._record)
 
     def refresh(self) -> None:
-        """Has the record written if it tells less time by now."""
-        if self._open:
+        """Rewrites the record with the time that is left by now."""
+        if self._unsettled:
             self._ledger.put_with_next(self._record)
 
     def drop(self, task: Task, number: int, worker: Worker) -> None:
-        """Drops a run that isn't on a worker, once it can't begin any more."""
+        """Drops a run that isn't on a worker, or holds it if it may begin."""
         run = drop_run(task, number, worker)
         if run is not None:
             self.hold(task, run)
 
     def hold(self, task: Task, run: Run) -> None:
-        """Keeps a task waiting while a run that was dropped may begin."""
+        """Keeps a task waiting while a dropped run may still begin."""
         now = trio.current_time()
         if not run.may_come_late(now) or task.done or task.step.job.ended:
             return
         if task.step.spec.copies and not task.step.spec.gang:
-            # Several runs may be on at once; one that comes late is stopped.
+            # Several runs of the task may run at once. One that begins late is
+            # stopped.
             return
         run.enter(RunState.HELD, now)
         task.add_run(run)
@@ -197,8 +203,10 @@
         )
         self._start_soon(self._release, task, run)
 
-    def take_held(self, task: Task, number: int, worker: Worker) -> Run | None:
-        """Ties a held run to a worker that tells of it, if there is one."""
+    def attach_held(
+        self, task: Task, number: int, worker: Worker
+    ) -> Run | None:
+        """Assigns a held run, if there is one, to the worker that lists it."""
         run = task.runs.get(number)
         if run is None or run.state is not RunState.HELD:
             return None
@@ -217,16 +225,16 @@
             self._wake()
 
     def _encode(self) -> bytes:
-        """Returns the record of what may be carried out yet."""
+        """Returns the record of the starts that may still be carried out."""
         now = trio.current_time()
         rows = []
-        for (task, number), run in list(self._open.items()):
-            on_its_way = run.state in _ON_ITS_WAY
+        for (task, number), run in list(self._unsettled.items()):
+            in_flight = run.state in _IN_FLIGHT
             if task.runs.get(number) is not run or not (
-                on_its_way or run.may_come_late(now)
+                in_flight or run.may_come_late(now)
             ):
-                del self._open[task, number]
+                del self._unsettled[task, number]
                 continue
-            left = 0.0 if on_its_way else run.late_until - now
+            left = 0.0 if in_flight else run.late_until - now
             rows.append(LateStart(task.name, number, left))
         return records.encode_late_starts(rows)
--- a/pimentocross/owner/lived_runs.py
+++ b/pimentocross/owner/lived_runs.py
@@ -1,8 +1,9 @@
-"""Tells the next owner how long runs have lived that may crash their workers.
+"""Records how long the runs of tasks that may crash workers have lived.
 
-Failure pattern: owners follow one another while a task is isolated under which
-workers have crashed. Each saw its run live for a few seconds only, counted from
-its own first listing, so that the worker stays closed to all else for good.
+Failure pattern: owners follow one another while a task that has crashed workers
+is isolated. Each owner counts the lifetime of the run from its own first
+listing and so sees a few seconds only. Without a record for the next owner, the
+isolation never ends and the worker gets no other work.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -18,29 +19,34 @@
 
 
 class LivedRuns:
-    """The record of how long such runs have lived."""
+    """Lifetimes of runs whose tasks have crashed workers, and their record."""
 
     def __init__(
         self, ledger: Ledger, workers: Callable[[], Iterable[Worker]]
     ) -> None:
-        """Takes where to record, and what returns the workers in use."""
+        """Initializes the record.
+
+        Args:
+            ledger: Writes the record.
+            workers: Returns the workers in use.
+        """
         self._ledger = ledger
         self._workers = workers
         self._record = PlainRecord(records.LIVED, self._encode)
         self._former: tuple[LivedRow, ...] = ()
-        self._has_told_rows = False
+        self._has_recorded_rows = False
 
     def restore(self, value: bytes) -> None:
-        """Takes in what a former owner has recorded.
+        """Restores the record of a former owner.
 
         Raises:
-            RecordError: It is of another form.
+            RecordError: The record has an unknown format.
         """
         self._former = records.decode_lived(value)
-        self._has_told_rows = bool(self._former)
+        self._has_recorded_rows = bool(self._former)
 
     def adopt(self, runs: Iterable[tuple[Task, Run]]) -> None:
-        """Credits restored runs with what former owners saw of them."""
+        """Adds the lifetimes that former owners saw to the restored runs."""
         if not self._former:
             return
         lived = {(r.task, r.run, r.worker): r.lived for r in self._former}
@@ -49,10 +55,10 @@
             run.lived_before = lived.get(key, 0.0)
 
     async def follow(self) -> None:
-        """Keeps the record up to date for ever."""
+        """Updates the record periodically until cancelled."""
         while True:
             await trio.sleep(const.ROSTER_INTERVAL)
-            if self._has_told_rows or any(self._rows()):
+            if self._has_recorded_rows or any(self._rows()):
                 self._ledger.put_with_next(self._record)
 
     def _rows(self) -> Iterator[LivedRow]:
@@ -67,5 +73,5 @@
 
     def _encode(self) -> bytes | None:
         rows = tuple(self._rows())
-        self._has_told_rows = bool(rows)
+        self._has_recorded_rows = bool(rows)
         return records.encode_lived(rows) if rows else None
--- a/pimentocross/owner/orders.py
+++ b/pimentocross/owner/orders.py
@@ -118,7 +118,7 @@
 
     async def _start_again(self, placement: Placement) -> None:
         task, run, worker, _ = placement
-        await self._parts.late_starts.note_repeated(task, run).wait()
+        await self._parts.late_starts.record_resend(task, run).wait()
         async with worker.calls:
             if task.runs.get(run.number) is not run:
                 return
--- a/pimentocross/owner/owner.py
+++ b/pimentocross/owner/owner.py
@@ -22,7 +22,6 @@
 from pimentocross.owner.crashes import Crashes
 from pimentocross.owner.desk import Desk, JobReply, Outcome
 from pimentocross.owner.dispatcher import Dispatcher
-from pimentocross.owner.doubts import Doubts
 from pimentocross.owner.former_leases import FormerLeases, Predecessor
 from pimentocross.owner.intake import Intake
 from pimentocross.owner.jobs import JobBook
@@ -34,8 +33,9 @@
 from pimentocross.owner.orders import Orders
 from pimentocross.owner.parts import CellParts
 from pimentocross.owner.patience import CallPatience
-from pimentocross.owner.repeats import Repeats
+from pimentocross.owner.resent_starts import ResentStarts
 from pimentocross.owner.roster import Roster, RosterParts
+from pimentocross.owner.silent_lives import SilentLives
 from pimentocross.owner.take_over_log import TakeOverLog
 from pimentocross.owner.terms import OwnerTerms
 from pimentocross.owner.worker_ends import WorkerEnds
@@ -132,13 +132,13 @@
             platform.switches,
         )
         formers = claim.predecessors
-        self._repeats = Repeats(
+        self._repeats = ResentStarts(
             claim.epoch, formers[0].epoch if formers else None, self._ledger
         )
         self._late_starts = LateStarts(
             self._book, self._ledger, self._dispatcher.wake, self._repeats
         )
-        self._doubts = Doubts(self._ledger)
+        self._doubts = SilentLives(self._ledger)
         self._ends = WorkerEnds(self._ledger)
         self._lived_runs = LivedRuns(self._ledger, self._roster.workers)
         self._admission = Admission(
@@ -230,13 +230,13 @@
                     nursery, parts, orders, self._dispatcher.forget_life
                 )
             )
-            self._former_leases.relate()
+            self._former_leases.apply_former_record()
             await self._roster.poll()
             # Keepers begin afterwards: none may hear of a run before.
             self._lived_runs.adopt(runs)
             self._roster.adopt(runs)
             self._repeats.begin()
-            self._former_leases.begin_record(self._roster.lease_rows)
+            self._former_leases.start_recording(self._roster.lease_rows)
             self.ready.set()
             self._log.note("owner_ready", jobs=len(self._book))
             nursery.start_soon(self._decide, orders)
--- a/pimentocross/owner/placer.py
+++ b/pimentocross/owner/placer.py
@@ -171,7 +171,7 @@
         found = self._isolation.find(task, places.hosts)
         if found:
             places = Few(found, self._arranger.view)
-        elif not self._isolation.is_due(task, self._now):
+        elif not self._isolation.has_waited_too_long(task, self._now):
             return None
         placement = self._place_on(task, number, places, rack)
         if placement is not None:
--- a/pimentocross/owner/roster.py
+++ b/pimentocross/owner/roster.py
@@ -245,7 +245,7 @@
         late_starts = self._parts.cell.late_starts
         for task, run in runs:
             known = self.numbers.is_known(run.worker)
-            if not known and late_starts.was_open(task, run):
+            if not known and late_starts.was_unsettled(task, run):
                 late_starts.adopt_held(task, run)
                 continue
             worker = by_number.get(run.worker)
--- /dev/null
+++ b/pimentocross/owner/silent_lives.py
@@ -0,0 +1,100 @@
+"""Records the runs of silent workers until each worker's fate is known.
+
+Failure pattern: a worker crashes, and its owner is killed before the next life
+of the VM is known. Only that owner saw how soon after its start a run ended
+with its worker, so without a record its successor can't tell whether the run
+may have caused the crash.
+"""
+
+from collections.abc import Iterator, Sequence
+from typing import NamedTuple
+
+import trio
+
+from pimentocross.contracts.worker_link import WorkerLife
+from pimentocross.owner.ledger import Ledger, PlainRecord
+from pimentocross.owner.life_numbers import KnownLife
+from pimentocross.work import records
+from pimentocross.work.crash_history import HELD_MOST
+from pimentocross.work.records import DoubtRecord, DoubtRow
+from pimentocross.work.spec import TaskName
+
+
+class _SilentLife(NamedTuple):
+    """A silent worker life and the runs that may have crashed it.
+
+    Attributes:
+        life: The worker life.
+        rows: Runs that may have crashed it, by task and number.
+        until: When the record expires, monotonic.
+    """
+
+    life: KnownLife
+    rows: dict[tuple[TaskName, int], DoubtRow]
+    until: float
+
+    def encode(self) -> bytes:
+        return records.encode_doubt(*self.life, tuple(self.rows.values()))
+
+
+class SilentLives:
+    """Worker lives that went silent, until they answer or are replaced."""
+
+    def __init__(self, ledger: Ledger) -> None:
+        """Initializes the records, which are written to a ledger."""
+        self._ledger = ledger
+        self._lives: dict[str, _SilentLife] = {}
+
+    def restore(self, record: DoubtRecord) -> None:
+        """Restores the record that a former owner wrote of one life."""
+        rows = {(row.task, row.run): row for row in record.rows}
+        life = KnownLife(record.life, record.machine, record.born)
+        until = trio.current_time() + HELD_MOST
+        self._lives[record.life] = _SilentLife(life, rows, until)
+
+    def restored(self) -> Iterator[tuple[KnownLife, Sequence[DoubtRow]]]:
+        """Yields the restored lives, each with its recorded runs."""
+        for life, rows, _ in self._lives.values():
+            yield life, tuple(rows.values())
+
+    def note_silent(self, life: WorkerLife, rows: Sequence[DoubtRow]) -> None:
+        """Records the runs that may have crashed a life that went silent.
+
+        An empty record is written too: it says that all runs of the life had
+        lived long enough not to be the cause.
+        """
+        former = self._lives.get(life.id)
+        silent = _SilentLife(
+            KnownLife(life.id, life.machine, life.born),
+            dict(former.rows) if former is not None else {},
+            trio.current_time() + HELD_MOST,
+        )
+        for row in rows:
+            silent.rows[row.task, row.run] = row
+        self._lives[life.id] = silent
+        self._put(life.id, silent)
+
+    def has_record(self, life: WorkerLife) -> bool:
+        """Returns whether a record of the life exists."""
+        silent = self._lives.get(life.id)
+        return silent is not None and not life.is_after(silent.life.born)
+
+    def forget(self, life: str) -> None:
+        """Removes the record of a life whose fate is known."""
+        if self._lives.pop(life, None) is not None:
+            self._put(life, None)
+
+    def sweep(self) -> None:
+        """Removes the records of lives that have been silent for too long."""
+        now = trio.current_time()
+        for life, silent in list(self._lives.items()):
+            if silent.until < now:
+                self.forget(life)
+
+    def _put(self, life: str, silent: _SilentLife | None) -> None:
+        self._ledger.put(
+            PlainRecord(
+                records.DOUBTS + life,
+                lambda: None if silent is None else silent.encode(),
+            )
+        )
--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -9,10 +9,10 @@
 from bench.wire_parts import make_parts
 from pimentocross.observe import decisions
 from pimentocross.owner import wall
-from pimentocross.owner.doubts import Doubts
 from pimentocross.owner.jobs import JobBook
 from pimentocross.owner.ledger import Ledger
 from pimentocross.owner.life_numbers import LifeNumbers
+from pimentocross.owner.silent_lives import SilentLives
 from pimentocross.owner.worker import Worker
 from pimentocross.owner.worker_ends import WorkerEnds
 from pimentocross.standins.store import StoreStandin
@@ -164,7 +164,7 @@
         run = Run(1, 1, decided_at)
         run.state = RunState.RUNNING
         worker.add(task, run)
-        with mock.patch.object(Doubts, "note_silent") as note_silent:
+        with mock.patch.object(SilentLives, "note_silent") as note_silent:
             parts.crashes.note_silent(worker)
         if not note_silent.called:
             return None
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -3,7 +3,7 @@
 import trio
 
 from pimentocross.owner.ledger import Ledger
-from pimentocross.owner.repeats import Repeats
+from pimentocross.owner.resent_starts import ResentStarts
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import LASTS, TaskPlan
 from pimentocross.work import records
@@ -39,10 +39,10 @@
         (None, 3, (), False),
     ):
         ledger = Ledger(StoreStandin().client("a"), "jobs", "owner", 4)
-        repeats = Repeats(4, former, ledger)
-        assert not repeats.were_sent_once(task, Run(1, 0))
+        repeats = ResentStarts(4, former, ledger)
+        assert not repeats.was_sent_at_most_once(task, Run(1, 0))
         repeats.restore(records.encode_repeats(recorded, runs))
-        assert repeats.were_sent_once(task, Run(1, 0)) is expected
+        assert repeats.was_sent_at_most_once(task, Run(1, 0)) is expected
 
 
 async def test_no_start_is_repeated_before_that_is_recorded() -> None:
