--- a/pimentocross/owner/isolation.py
+++ b/pimentocross/owner/isolation.py
@@ -11,10 +11,10 @@
 
 # A task is isolated on one of the workers with the fewest runs, as these lose
 # the least if it crashes them.
-_CANDIDATES_MOST: Final = 3
+_MAX_CANDIDATES: Final = 3
 # Limits the work per task: after the outage of a rack many tasks wait to be
 # isolated in one pass.
-_CHECKED_MOST: Final = 32
+_MAX_CHECKED: Final = 32
 
 
 class Isolation:
@@ -35,8 +35,8 @@
         step = task.step
         allowed = [worker for worker in workers if allows(worker, step)]
         allowed.sort(key=lambda worker: len(worker.runs))
-        proven = (w for w in allowed[:_CHECKED_MOST] if w.is_proven(step.job))
-        return list(itertools.islice(proven, _CANDIDATES_MOST))
+        proven = (w for w in allowed[:_MAX_CHECKED] if w.is_proven(step.job))
+        return list(itertools.islice(proven, _MAX_CANDIDATES))
 
     def has_waited_too_long(self, task: Task, now: float) -> bool:
         """Returns whether a task has waited too long to be isolated."""
--- a/pimentocross/owner/silent_lives.py
+++ b/pimentocross/owner/silent_lives.py
@@ -64,20 +64,20 @@
         lived long enough not to be the cause.
         """
         former = self._lives.get(life.id)
-        silent = _SilentLife(
+        entry = _SilentLife(
             KnownLife(life.id, life.machine, life.born),
             dict(former.rows) if former is not None else {},
             trio.current_time() + HELD_MOST,
         )
         for row in rows:
-            silent.rows[row.task, row.run] = row
-        self._lives[life.id] = silent
-        self._put(life.id, silent)
+            entry.rows[row.task, row.run] = row
+        self._lives[life.id] = entry
+        self._put(life.id, entry)
 
     def has_record(self, life: WorkerLife) -> bool:
         """Returns whether a record of the life exists."""
-        silent = self._lives.get(life.id)
-        return silent is not None and not life.is_after(silent.life.born)
+        entry = self._lives.get(life.id)
+        return entry is not None and not life.is_after(entry.life.born)
 
     def forget(self, life: str) -> None:
         """Removes the record of a life whose fate is known."""
@@ -87,14 +87,14 @@
     def sweep(self) -> None:
         """Removes the records of lives that have been silent for too long."""
         now = trio.current_time()
-        for life, silent in list(self._lives.items()):
-            if silent.until < now:
+        for life, entry in list(self._lives.items()):
+            if entry.until < now:
                 self.forget(life)
 
-    def _put(self, life: str, silent: _SilentLife | None) -> None:
+    def _put(self, life: str, entry: _SilentLife | None) -> None:
         self._ledger.put(
             PlainRecord(
                 records.DOUBTS + life,
-                lambda: None if silent is None else silent.encode(),
+                lambda: None if entry is None else entry.encode(),
             )
         )
--- a/tests/crash_loops.py
+++ b/tests/crash_loops.py
@@ -1,8 +1,8 @@
-"""Tasks that crash their workers, in cells of several sizes.
+"""Simulates tasks that crash their workers in cells of several sizes.
 
-Twenty of them come at once beside other work, on workers that come back under
-new ids or their own, with one owner or with owners that are killed one after
-the other. `python -m tests.crash_loops [SEEDS]` prints what comes of each.
+Twenty crashing jobs are submitted along with other work. Workers come back
+under new ids or the same ones, and there is one owner or a series of owners
+that are killed. `python -m tests.crash_loops [SEEDS]` prints the results.
 """
 
 from collections import Counter
@@ -42,23 +42,24 @@
 
 _WORKERS: Final = (12, 24, 60, 246)
 _SEEDS: Final = 20
-_CRASHING: Final = 20
-_RACK: Final = 8
+_CRASHING_JOBS: Final = 20
+_RACK_SIZE: Final = 8
 _LASTING: Final = StepSpec(6, SMALL, lasting=True)
-# Seconds that a new owner takes to follow one that was killed.
-_TAKE_OVER: Final = 2.0
-# Seconds between kills: one falls between any two crashes of a task.
-_KILLED_EVERY: Final = (1.5, 6.0)
-# No play lasts longer, in seconds.
-LONGEST: Final = 120.0
+# Seconds between the kill of an owner and the start of the next one.
+_TAKE_OVER_TIME: Final = 2.0
+# Bounds of the seconds between kills, so that one falls between any two crashes
+# of a task.
+_KILL_INTERVAL: Final = (1.5, 6.0)
+# Upper bound on the virtual time of a simulation, in seconds.
+MAX_SECONDS: Final = 120.0
 
 
-class Scene(NamedTuple):
-    """What is played.
+class Scenario(NamedTuple):
+    """The setup of a simulation.
 
     Attributes:
-        workers: How many there are.
-        keeps_ids: Whether a worker comes back under the id that it had.
+        workers: The number of workers.
+        keeps_ids: Whether a worker comes back under the same id.
         kills: Whether owners are killed.
     """
 
@@ -68,12 +69,12 @@
 
 
 class Outcome(NamedTuple):
-    """What came of a play.
+    """The result of a simulation.
 
     Attributes:
-        journal: What happened to runs.
-        states: What callers were last told of each job.
-        seconds: Until all crashing jobs were given up.
+        journal: The events of all runs.
+        states: The state of each job as last reported to callers.
+        seconds: The time until all crashing jobs were given up.
     """
 
     journal: list[RunEvent]
@@ -82,17 +83,17 @@
 
     @property
     def crashes(self) -> Counter[TaskName]:
-        """Workers that crashed by each task."""
+        """The number of workers that each task crashed."""
         return Counter(e.task for e in self.journal if e.what == "crashed")
 
     @property
     def most_crashes(self) -> int:
-        """Those of the task that crashed most."""
+        """The highest number of crashes of any task."""
         return max(self.crashes.values(), default=0)
 
     @property
-    def innocent(self) -> list[str]:
-        """Jobs that were given up and crashed nothing."""
+    def wrongly_given_up(self) -> list[str]:
+        """Jobs that were given up without having crashed a worker."""
         return [
             job
             for job, state in self.states.items()
@@ -100,7 +101,7 @@
         ]
 
     def starts_after_third(self) -> int:
-        """Returns starts of tasks by which three workers had crashed."""
+        """Counts starts of tasks that had crashed three workers before."""
         crashes: Counter[TaskName] = Counter()
         starts = 0
         for event in self.journal:
@@ -111,15 +112,15 @@
         return starts
 
 
-def play(scene: Scene, seed: int) -> Outcome:
-    """Plays a scene in virtual time."""
+def simulate(scenario: Scenario, seed: int) -> Outcome:
+    """Simulates a scenario in virtual time."""
     outcomes: list[Outcome] = []
 
-    async def play_once() -> None:
+    async def simulate_once() -> None:
         with mock.patch.object(wall, "now", trio.current_time):
-            outcomes.append(await _play(scene, seed))
+            outcomes.append(await _simulate(scenario, seed))
 
-    run_virtual(play_once, seed)
+    run_virtual(simulate_once, seed)
     return outcomes[0]
 
 
@@ -137,24 +138,24 @@
 
 
 class _Cell:
-    """A cell whose owners may be killed, and the jobs that it has taken in."""
+    """A cell whose owners may be killed, and the states of its jobs."""
 
-    def __init__(self, scene: Scene, seed: int) -> None:
+    def __init__(self, scenario: Scenario, seed: int) -> None:
         self.hall = WorkerHall()
         self.states: dict[str, JobState | None] = {}
-        self._kills = scene.kills
+        self._kills = scenario.kills
         self._random = random.Random(seed)
         self._store = StoreStandin(seed)
         self._owner: Owner | None = None
-        for number in range(scene.workers):
-            listed = life(number, rack=f"r{number // _RACK}")
+        for number in range(scenario.workers):
+            listed = life(number, rack=f"r{number // _RACK_SIZE}")
             journal = self.hall.journal
             self.hall.add(
                 TaskWorkerStandin(listed, _plan, journal, seed=number)
             )
 
-    async def own(self) -> None:
-        """Has owners follow each other, for ever."""
+    async def run_owners(self) -> None:
+        """Runs one owner after the other until cancelled."""
         epoch = 0
         while True:
             epoch += 1
@@ -165,15 +166,15 @@
                 vm=f"vm{epoch % 3}",
                 former_quiet=False,
             )
-            with trio.move_on_after(self._owned_for()):
+            with trio.move_on_after(self._owner_lifetime()):
                 await self._run(owner)
             self._owner = None
-            await trio.sleep(_TAKE_OVER)
+            await trio.sleep(_TAKE_OVER_TIME)
 
-    def _owned_for(self) -> float:
+    def _owner_lifetime(self) -> float:
         if not self._kills:
             return float("inf")
-        return self._random.uniform(*_KILLED_EVERY)
+        return self._random.uniform(*_KILL_INTERVAL)
 
     async def _run(self, owner: Owner) -> None:
         try:
@@ -181,11 +182,11 @@
                 self._owner = owner
                 await trio.sleep_forever()
         except* OwnerEndedError:
-            # It could not read the state: the next one takes over.
+            # The owner could not read the state, so the next one takes over.
             pass
 
     async def submit(self, job: str, asked: JobSpec) -> None:
-        """Submits a job as a caller does, until it is taken in."""
+        """Submits a job like a caller, again until it is accepted."""
         while job not in self.states:
             if self._owner is not None:
                 with trio.move_on_after(1.0):
@@ -194,11 +195,11 @@
             await trio.sleep(0.05)
 
     def all_given_up(self) -> bool:
-        """True once callers are told of each crashing job that it failed."""
+        """Returns whether each crashing job is reported as failed."""
         if self._owner is not None:
             for job in self.states:
-                told = self._owner.desk.state(job).state
-                self.states[job] = told or self.states[job]
+                reported = self._owner.desk.state(job).state
+                self.states[job] = reported or self.states[job]
         return all(
             state is JobState.FAILED
             for job, state in self.states.items()
@@ -206,21 +207,21 @@
         )
 
 
-async def _play(scene: Scene, seed: int) -> Outcome:
-    cell = _Cell(scene, seed)
+async def _simulate(scenario: Scenario, seed: int) -> Outcome:
+    cell = _Cell(scenario, seed)
     async with trio.open_nursery() as nursery:
         supervisor = Supervisor(
-            cell.hall, _plan, seed=seed, keeps_ids=scene.keeps_ids
+            cell.hall, _plan, seed=seed, keeps_ids=scenario.keeps_ids
         )
         nursery.start_soon(supervisor.run)
-        nursery.start_soon(cell.own)
-        for number in range(scene.workers // 3):
+        nursery.start_soon(cell.run_owners)
+        for number in range(scenario.workers // 3):
             await cell.submit(f"last{number}", spec(_LASTING))
-        for number in range(_CRASHING):
+        for number in range(_CRASHING_JOBS):
             await cell.submit(f"crash{number}", chain(3, 1))
             await cell.submit(f"brief{number}", chain(3, 1))
         began = trio.current_time()
-        with trio.move_on_after(LONGEST):
+        with trio.move_on_after(MAX_SECONDS):
             while not cell.all_given_up():
                 await trio.sleep(0.1)
         seconds = trio.current_time() - began
@@ -228,32 +229,32 @@
     return Outcome(cell.hall.journal, cell.states, seconds)
 
 
-def _scenes() -> Iterator[Scene]:
+def _scenarios() -> Iterator[Scenario]:
     for workers in _WORKERS:
         for keeps_ids in (False, True):
             for kills in (False, True):
-                yield Scene(workers, keeps_ids, kills)
+                yield Scenario(workers, keeps_ids, kills)
 
 
 def main() -> None:
-    """Prints what comes of each scene over some seeds."""
+    """Prints the results of each scenario over several seeds."""
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else _SEEDS
     print(
         "workers | ids | owners | most crashes of a task | starts after its"
-        " third | crashes, mean | innocent given up | seconds, mean and most"
+        " third | crashes, mean | other jobs given up | seconds, mean and most"
     )
-    for scene in _scenes():
-        found = [play(scene, seed) for seed in range(seeds)]
+    for scenario in _scenarios():
+        found = [simulate(scenario, seed) for seed in range(seeds)]
         seconds = [outcome.seconds for outcome in found]
         crashes = sum(outcome.crashes.total() for outcome in found)
         cells = [
-            str(scene.workers),
-            "kept" if scene.keeps_ids else "new",
-            "killed" if scene.kills else "one",
+            str(scenario.workers),
+            "kept" if scenario.keeps_ids else "new",
+            "killed" if scenario.kills else "one",
             str(max(outcome.most_crashes for outcome in found)),
             str(sum(outcome.starts_after_third() for outcome in found)),
             f"{crashes / seeds:.1f}",
-            str(sum(len(outcome.innocent) for outcome in found)),
+            str(sum(len(outcome.wrongly_given_up) for outcome in found)),
             f"{sum(seconds) / seeds:.1f}, {max(seconds):.1f}",
         ]
         print(" | ".join(cells), flush=True)
--- a/tests/test_counted_anew.py
+++ b/tests/test_counted_anew.py
@@ -1,7 +1,7 @@
-"""What a new owner counts anew although it happened before.
+"""Tests waits and counts that must not begin anew with each take-over.
 
-Owners that follow one another within seconds never come to the end of a wait
-that each of them counts from its own take-over.
+If owners follow one another within seconds and each counts a wait from its own
+take-over, the wait never ends.
 """
 
 from collections import Counter
@@ -37,10 +37,10 @@
     wait_until,
 )
 
-# Users allow 6 s from the end of a run, and 3 s without one after these.
-_AT_WORK_WITHIN: Final = 6.0 + 3.0
-_LARGE: Final = Size(2500, 1000, 0)
-_FOUR: Final = spec(StepSpec(4, _LARGE, lasting=True))
+# Users allow 6 s after the end of a run and 3 s more without one.
+_RUNNING_WITHIN: Final = 6.0 + 3.0
+_LARGE_SIZE: Final = Size(2500, 1000, 0)
+_FOUR_LARGE_TASKS: Final = spec(StepSpec(4, _LARGE_SIZE, lasting=True))
 _LASTING: Final = spec(StepSpec(1, SMALL, lasting=True))
 
 
@@ -48,8 +48,8 @@
     return TaskPlan(LASTS, SMALL)
 
 
-def _where(hall: WorkerHall, job: str) -> str:
-    """Returns the worker that is up and runs a task of a job, or ""."""
+def _worker_of(hall: WorkerHall, job: str) -> str:
+    """Returns a live worker that runs a task of a job, or "" if none does."""
     for worker in hall.workers.values():
         if not worker.dead:
             for entry in worker.listing().running:
@@ -58,8 +58,8 @@
     return ""
 
 
-class _Owners:
-    """Owners of one cell that follow one another."""
+class _OwnerSeries:
+    """Successive owners of one cell."""
 
     def __init__(self, hall: WorkerHall) -> None:
         self.store = StoreStandin()
@@ -70,12 +70,12 @@
 
     @property
     def owner(self) -> Owner:
-        """The one that owns."""
+        """The present owner."""
         assert self._owner is not None
         return self._owner
 
-    async def follow(self) -> None:
-        """Has the owner killed, if there is one, and the next one follow."""
+    async def start_next(self) -> None:
+        """Kills the present owner, if there is one, and starts the next one."""
         await self.end()
         self._epoch += 1
         owner = make_owner(self.store, self._hall, self._epoch)
@@ -88,10 +88,10 @@
 
 
 @asynccontextmanager
-async def _owning(hall: WorkerHall) -> AsyncIterator[_Owners]:
-    """Has a first owner begin; the last one is killed after the block."""
-    owners = _Owners(hall)
-    await owners.follow()
+async def _owning(hall: WorkerHall) -> AsyncIterator[_OwnerSeries]:
+    """Starts a first owner. The last one is killed after the block."""
+    owners = _OwnerSeries(hall)
+    await owners.start_next()
     try:
         await trio.sleep(0.5)
         yield owners
@@ -100,7 +100,7 @@
 
 
 def _replace(hall: WorkerHall, worker: str, generation: int) -> None:
-    """Has a worker crash; its machine has another life at once."""
+    """Crashes a worker, whose VM has another life at once."""
     old = hall.workers.pop(worker)
     old.crash()
     old.down = False
@@ -113,8 +113,8 @@
     )
 
 
-async def _play_storm(*, take_overs: bool) -> JobState | None:
-    """Plays a storm of crashes; returns what became of an innocent job."""
+async def _simulate_storm(*, take_overs: bool) -> JobState | None:
+    """Returns the state of a job that caused none of a series of crashes."""
     hall = make_hall(12, _lasting)
     for number, worker in enumerate(hall.workers.values()):
         worker.life = worker.life._replace(labels=("kind", f"r{number}"))
@@ -122,37 +122,38 @@
         await owners.owner.desk.submit("watch", QUEUE, _LASTING)
         for generation in range(1, 6):
             await trio.sleep(2.0)
-            if not _where(hall, "watch"):
+            if not _worker_of(hall, "watch"):
                 break
             if take_overs:
-                await owners.follow()
+                await owners.start_next()
             await trio.sleep(0.4)
-            hit = _where(hall, "watch")
-            others = [name for name in sorted(hall.workers) if name != hit]
-            for name in [hit, *others[:3]]:
+            crashed = _worker_of(hall, "watch")
+            others = [name for name in sorted(hall.workers) if name != crashed]
+            for name in [crashed, *others[:3]]:
                 _replace(hall, name, generation)
         await trio.sleep(2.0)
         return owners.owner.desk.state("watch").state
 
 
 async def test_a_storm_of_crashes_ends_no_job_under_one_owner() -> None:
-    # What the next test is held against.
-    assert await _play_storm(take_overs=False) is JobState.RUNNING
+    # The baseline for the next test.
+    assert await _simulate_storm(take_overs=False) is JobState.RUNNING
 
 
 async def test_a_storm_of_crashes_ends_no_job_as_owners_follow() -> None:
-    # LOST: how long a run lived, and who else crashed, is counted from the
-    # take-over, so that each crash looks like the doing of its task.
-    assert await _play_storm(take_overs=True) is JobState.RUNNING
+    # Guards against a lost job: if run lifetimes and other crashes are counted
+    # from the take-over, each crash seems to be caused by the task there.
+    assert await _simulate_storm(take_overs=True) is JobState.RUNNING
 
 
 async def test_a_worker_is_isolated_no_longer_as_owners_follow() -> None:
-    # LOST: each counts anew for how long the isolated run has lived.
+    # Guards against a lost job: if each owner counts the lifetime of the
+    # isolated run from its take-over, the worker stays closed to other tasks.
     starts: Counter[str] = Counter()
 
     def plan(name: TaskName) -> TaskPlan:
         if name.job != "suspect":
-            return TaskPlan(LASTS, _LARGE)
+            return TaskPlan(LASTS, _LARGE_SIZE)
         starts[name.job] += 1
         after = 4.6 if starts[name.job] <= 3 else NEVER
         return TaskPlan(100.0, SMALL, crashes_after=after)
@@ -164,27 +165,27 @@
         await desk.submit("suspect", QUEUE, suspect)
         for generation in range(1, 4):
             await wait_until(lambda: any(w.down for w in hall.workers.values()))
-            hit = next(n for n, w in hall.workers.items() if w.down)
-            old = hall.workers.pop(hit)
+            crashed = next(n for n, w in hall.workers.items() if w.down)
+            old = hall.workers.pop(crashed)
             old.down = False
             number = int(old.life.machine[1:])
             new = life(number, generation)._replace(born=old.life.born + 1)
             hall.add(
                 TaskWorkerStandin(new, plan, hall.journal, seed=10 * generation)
             )
-        await wait_until(lambda: bool(_where(hall, "suspect")))
-        # The other one is full; what comes now has room beside that run.
-        await desk.submit("watch", QUEUE, _FOUR)
+        await wait_until(lambda: bool(_worker_of(hall, "suspect")))
+        # The other worker is full, so the next job only fits beside that run.
+        await desk.submit("watch", QUEUE, _FOUR_LARGE_TASKS)
         began = trio.current_time()
         while _count_listed(hall, "watch") < 4:
-            await owners.follow()
+            await owners.start_next()
             await trio.sleep(5.0)
             took = trio.current_time() - began
-            assert took < 3 * _AT_WORK_WITHIN, took
+            assert took < 3 * _RUNNING_WITHIN, took
 
 
 def _count_listed(hall: WorkerHall, job: str) -> int:
-    """Returns how many tasks of a job run on workers that are up."""
+    """Returns how many tasks of a job run on live workers."""
     return sum(
         entry.task.job == job
         for worker in hall.workers.values()
@@ -194,27 +195,27 @@
 
 
 async def test_a_start_in_flight_at_a_take_over_keeps_nothing_away() -> None:
-    # LOST: it is held for 12.8 s from the take-over, though its worker says
-    # that it isn't there.
+    # Guards against a lost job: the task must not be held for 12.8 s from the
+    # take-over, as the worker reports that the run isn't there.
     hall = make_hall(2, _lasting)
     with mock.patch.object(wall, "now", trio.current_time):
         async with _owning(hall) as owners:
             for worker in hall.workers.values():
                 worker.faults.silent = True
             await owners.owner.desk.submit("watch", QUEUE, _LASTING)
-            # Decided on and recorded; the start has reached nobody.
+            # The start is decided on and recorded but has reached no worker.
             await trio.sleep(0.1)
             await owners.end()
             for worker in hall.workers.values():
                 worker.faults.silent = False
-            await owners.follow()
+            await owners.start_next()
             await wait_until(
-                lambda: bool(_where(hall, "watch")), _AT_WORK_WITHIN
+                lambda: bool(_worker_of(hall, "watch")), _RUNNING_WITHIN
             )
 
 
-async def _play_late_start(ahead: float) -> None:
-    """Has a new owner wait for a late start.
+async def _simulate_late_start(ahead: float) -> None:
+    """Checks that a new owner waits for a start that comes late.
 
     Args:
         ahead: How far the new owner's clock is ahead, in seconds.
@@ -233,7 +234,8 @@
         worker.faults.late = 0.0
         hall.cut["a"].add(worker.life.id)
         await trio.sleep(2.0)
-    # The next life knows nothing, and is found only once the start has come.
+    # The next life has received no token, and the new owner finds it only after
+    # the start was carried out.
     worker.restart()
     hall.cut["b"].add(worker.life.id)
     hall.unlisted.add(worker.life.id)
@@ -250,13 +252,14 @@
 
 
 async def test_a_late_start_is_waited_for_where_clocks_agree() -> None:
-    # What the next test is held against.
+    # The baseline for the next test.
     with mock.patch.object(wall, "now", trio.current_time):
-        await _play_late_start(0.0)
+        await _simulate_late_start(0.0)
 
 
 async def test_a_late_start_is_waited_for_where_clocks_differ() -> None:
-    # TWICE: until when it is waited for is told by the clock of another VM,
-    # and clocks jump by more than the two seconds that are allowed for.
+    # Guards against a task that runs twice: if the end of the wait is a time on
+    # the clock of another VM, a clock may be off by more than the two seconds
+    # that are allowed for.
     with mock.patch.object(wall, "now", trio.current_time):
-        await _play_late_start(5.0)
+        await _simulate_late_start(5.0)
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that crash the workers that start them."""
+"""Tests that tasks which crash their workers are found and given up."""
 
 from collections import Counter
 from collections.abc import AsyncIterator, Sequence
@@ -57,20 +57,21 @@
 )
 from tests.pass_fixtures import make_step, make_worker
 
-# A task of a job of this name, the first of its step, crashes its worker ...
+# The first task of each step of a job with this name prefix crashes its worker
+# right after its start.
 _AT_ONCE = "crash"
-# ... or does so when most of its work is done.
+# The same with this prefix crashes its worker when most of its work is done.
 _LATER = "later"
 _LASTING = StepSpec(6, SMALL, lasting=True)
 _CRASHES_AFTER = {_AT_ONCE: 0.01, _LATER: 1.2}
-# Workers of a rack.
-_RACK = 8
-# What waits has ended this long after the last job came.
+# Number of workers in a rack.
+_RACK_SIZE = 8
+# All waiting work has ended this many seconds after the last submission.
 _ENDED_AFTER = 20.0
 
 
 def _plan(name: TaskName) -> TaskPlan:
-    """Returns the plan of a task; its job's name says of what kind it is."""
+    """Returns the plan of a task, depending on the name of its job."""
     kind = name.job.partition("-")[0]
     lasts = name.job.endswith("lasting")
     crashes = _CRASHES_AFTER.get(kind, NEVER) if not name.position else NEVER
@@ -89,10 +90,10 @@
     *,
     keeps_ids: bool = False,
 ) -> AsyncIterator[WorkerHall]:
-    """Runs workers in racks that come back after a crash."""
+    """Runs workers in racks. Crashed workers come back."""
     hall = WorkerHall()
     for number in range(workers):
-        listed = life(number, rack=f"r{number // _RACK}")
+        listed = life(number, rack=f"r{number // _RACK_SIZE}")
         hall.add(TaskWorkerStandin(listed, _plan, hall.journal, seed=number))
     async with trio.open_nursery() as nursery:
         nursery.start_soon(
@@ -106,7 +107,7 @@
 async def _owned_cell(
     workers: int, *, keeps_ids: bool = False
 ) -> AsyncIterator[tuple[Owner, WorkerHall]]:
-    """Runs an owner over such workers."""
+    """Runs an owner with the workers of `_cell`."""
     async with _cell(workers, keeps_ids=keeps_ids) as hall:
         async with running(make_owner(StoreStandin(), hall, 1)) as owner:
             yield owner, hall
@@ -117,7 +118,7 @@
 
 
 async def _submit_stream(owner: Owner, count: int) -> list[str]:
-    """Submits jobs of three tasks, ten a second."""
+    """Submits jobs of three tasks each, ten jobs a second."""
     jobs = [f"job{number}" for number in range(count)]
     for job in jobs:
         await owner.desk.submit(job, QUEUE, chain(3, 1))
@@ -125,73 +126,73 @@
     return jobs
 
 
-def _check(hall: WorkerHall) -> None:
+def _check_journal(hall: WorkerHall) -> None:
     assert not find_crash_loops(hall.journal)
     assert not find_twice(hall.journal)
     assert not find_again(hall.journal)
 
 
 async def test_a_task_that_crashes_its_workers_is_given_up() -> None:
-    await _play_one_crashing_task(keeps_ids=False)
+    await _simulate_one_crashing_task(keeps_ids=False)
 
 
 async def test_a_task_whose_crashed_workers_keep_their_ids_is_given_up() -> (
     None
 ):
-    await _play_one_crashing_task(keeps_ids=True)
+    await _simulate_one_crashing_task(keeps_ids=True)
 
 
 def test_entries_of_crashed_workers_hide_no_crash_loop() -> None:
-    """Half of a small cell is down at any moment, each under its old entry."""
+    """Half of the workers are down at any time, their old entries listed."""
     for seed in range(3):
-        run_virtual(_play_small_cell, seed)
+        run_virtual(_simulate_small_cell, seed)
 
 
-async def _play_small_cell() -> None:
+async def _simulate_small_cell() -> None:
     async with _owned_cell(12) as (owner, hall):
         crashing = [f"crash-{number}" for number in range(6)]
         for job in crashing:
             await owner.desk.submit(job, QUEUE, chain(3, 1))
         jobs = await _submit_stream(owner, 60)
         await trio.sleep(_ENDED_AFTER)
-        _check(hall)
+        _check_journal(hall)
         assert _states(owner, crashing) == {JobState.FAILED}
         assert _states(owner, jobs) == {JobState.COMPLETED}
     crashes = Counter(e.task for e in hall.journal if e.what == "crashed")
     assert max(crashes.values()) <= 3, crashes
 
 
-async def _play_one_crashing_task(*, keeps_ids: bool) -> None:
+async def _simulate_one_crashing_task(*, keeps_ids: bool) -> None:
     async with _owned_cell(6, keeps_ids=keeps_ids) as (owner, hall):
         await owner.desk.submit("crash", QUEUE, chain(3, 2))
         jobs = await _submit_stream(owner, 100)
         await trio.sleep(_ENDED_AFTER)
-        _check(hall)
+        _check_journal(hall)
         assert owner.desk.state("crash").state is JobState.FAILED
         assert _states(owner, jobs) == {JobState.COMPLETED}
     assert all(e.task.step == 0 for e in hall.journal if e.task.job == "crash")
 
 
-async def _play_storm(bad: int, seed: int) -> None:
-    """Plays crashing tasks that come at once, beside a rack that goes down."""
+async def _simulate_storm(culprits: int, seed: int) -> None:
+    """Simulates crashing tasks that start together while a rack goes down."""
     draw = random.Random(seed)
-    async with _owned_cell(3 * _RACK) as (owner, hall):
+    async with _owned_cell(3 * _RACK_SIZE) as (owner, hall):
         lasting = [f"{number}-lasting" for number in range(6)]
         for job in lasting:
             await owner.desk.submit(job, QUEUE, spec(_LASTING))
-        crashing = [f"crash-{number}" for number in range(bad)]
+        crashing = [f"crash-{number}" for number in range(culprits)]
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_crash_rack, hall, draw.uniform(1.0, 9.0), draw)
             for job in crashing:
                 nursery.start_soon(owner.desk.submit, job, QUEUE, chain(3, 1))
             jobs = await _submit_stream(owner, 60)
         await trio.sleep(_ENDED_AFTER)
-        _check(hall)
+        _check_journal(hall)
         assert _states(owner, crashing) == {JobState.FAILED}
         assert _states(owner, jobs) == {JobState.COMPLETED}
         assert _states(owner, lasting) == {JobState.RUNNING}
     crashes = Counter(e.task for e in hall.journal if e.what == "crashed")
-    assert sum(crashes.values()) < 3 * bad, crashes
+    assert sum(crashes.values()) < 3 * culprits, crashes
 
 
 async def _crash_rack(
@@ -206,8 +207,8 @@
 
 
 def test_bystanders_of_crashing_tasks_are_done() -> None:
-    for seed, bad in enumerate((1, 5, 20, 20)):
-        run_virtual(lambda b=bad, s=seed: _play_storm(b, s), seed)  # type: ignore[misc]
+    for seed, culprits in enumerate((1, 5, 20, 20)):
+        run_virtual(lambda b=culprits, s=seed: _simulate_storm(b, s), seed)  # type: ignore[misc]
 
 
 async def test_crashing_tasks_of_every_kind_are_given_up() -> None:
@@ -219,61 +220,61 @@
         "crash-timed": timed,
         "crash-next": chain(2, 3),
     }
-    async with _owned_cell(3 * _RACK) as (owner, hall):
+    async with _owned_cell(3 * _RACK_SIZE) as (owner, hall):
         for job, asked in kinds.items():
             await owner.desk.submit(job, QUEUE, asked)
         await trio.sleep(_ENDED_AFTER)
         states = {job: owner.desk.state(job).state for job in kinds}
         assert set(states.values()) == {JobState.FAILED}, states
         assert not any(worker.committed.cpu for worker in hall.workers.values())
-        _check(hall)
+        _check_journal(hall)
 
 
 async def test_a_task_that_crashes_its_workers_late_is_given_up() -> None:
-    async with _owned_cell(_RACK) as (owner, hall):
+    async with _owned_cell(_RACK_SIZE) as (owner, hall):
         await owner.desk.submit("later", QUEUE, chain(3, 1))
         jobs = await _submit_stream(owner, 100)
         await trio.sleep(2 * _ENDED_AFTER)
-        _check(hall)
+        _check_journal(hall)
         assert owner.desk.state("later").state is JobState.FAILED
         assert _states(owner, jobs) == {JobState.COMPLETED}
 
 
 async def test_workers_that_stay_down_for_long_hide_no_crash_loop() -> None:
-    # Each task is given up for lost before its worker is known to be back.
+    # The lease of each run lapses before its worker is known to be back.
     for least in (6.0, 8.0, 12.0, 20.0):
         async with _cell(12, DownTime(least, least + 1.0)) as hall:
             async with running(make_owner(StoreStandin(), hall, 1)) as owner:
                 await owner.desk.submit("crash", QUEUE, chain(3, 1))
                 await trio.sleep(150)
-                _check(hall)
+                _check_journal(hall)
                 state = owner.desk.state("crash").state
                 assert state is JobState.FAILED, least
 
 
 async def test_crashes_are_counted_on_by_a_new_owner() -> None:
     store = StoreStandin()
-    async with _cell(_RACK) as hall:
+    async with _cell(_RACK_SIZE) as hall:
         for epoch in range(1, 12):
             owner = make_owner(store, hall, epoch, former_quiet=False)
             async with running(owner):
                 if epoch == 1:
                     await owner.desk.submit("crash", QUEUE, chain(3, 1))
-                # Some die before a crash is known, some after it.
+                # Some owners end before a crash is known, others after it.
                 await trio.sleep(1.0 + 0.7 * epoch)
                 state = owner.desk.state("crash").state
         assert state is JobState.FAILED
-        _check(hall)
+        _check_journal(hall)
         assert count(hall.journal, "crashed") <= 5
 
 
 def test_restarts_in_series_give_no_lasting_job_up() -> None:
-    # Each task that lasts meets many of them, some soon after its start.
+    # Each lasting task is hit by many restarts, some soon after its start.
     for seed in (0, 5):
-        run_virtual(lambda s=seed: _play_restarts(s), seed)  # type: ignore[misc]
+        run_virtual(lambda s=seed: _simulate_restarts(s), seed)  # type: ignore[misc]
 
 
-async def _play_restarts(seed: int) -> None:
+async def _simulate_restarts(seed: int) -> None:
     draw = random.Random(seed)
     async with _owned_cell(24, keeps_ids=True) as (owner, hall):
         lasting = [f"{number}-lasting" for number in range(8)]
@@ -284,13 +285,13 @@
             await owner.desk.submit(job, QUEUE, chain(3, 1))
         ends_at = trio.current_time() + 60.0
         while trio.current_time() < ends_at:
-            # A worker starts again every 17 s.
+            # Each worker restarts every 17 s on average.
             await trio.sleep(draw.expovariate(1.44))
             worker = draw.choice(list(hall.workers.values()))
             if not worker.dead:
                 worker.restart()
         await trio.sleep(_ENDED_AFTER)
-        _check(hall)
+        _check_journal(hall)
         assert _states(owner, lasting) == {JobState.RUNNING}, seed
         assert _states(owner, crashing) == {JobState.FAILED}
 
@@ -309,16 +310,18 @@
             worker.restart()
             crashed_at = trio.current_time()
             await wait_until(lambda: _starts(hall, "0-lasting") == 2, 5.0)
-            # Else it would not have been held back at all.
+            # An earlier start would mean that it did not wait for isolation.
             assert trio.current_time() - crashed_at > 1.0
 
 
 def test_an_isolated_task_looks_at_a_few_workers_of_a_large_cell() -> None:
     step = make_step("job", StepSpec(1, SMALL))
     workers = [make_worker(life(number), number) for number in range(350)]
-    with mock.patch.object(Worker, "is_proven", return_value=False) as looked:
+    with mock.patch.object(
+        Worker, "is_proven", return_value=False
+    ) as is_proven:
         assert not Isolation().find(step.tasks[0], workers)
-    assert looked.call_count <= 32
+    assert is_proven.call_count <= 32
 
 
 def _starts(hall: WorkerHall, job: str) -> int:
@@ -348,8 +351,8 @@
 
 
 async def test_a_worker_that_two_parts_give_up_crashes_once() -> None:
-    # The directory lists its machine's next life while a call is on its way,
-    # which that life answers.
+    # The directory lists the VM's next life while a call to the former life is
+    # in flight, and the next life answers that call.
     ledger = Ledger(StoreStandin().client("a"), "jobs", "owner", 1)
     book = JobBook(ledger, 0.0)
     parts = make_parts(book, ledger, lambda *_: None, lambda _: None)
@@ -398,33 +401,33 @@
     twice = once.after(_crash(2))
     for lasting in (False, True):
         assert once.patience(lasting=lasting) < 6.0
-    # As many workers crash at once, all quiet ones are kept for others.
+    # When many workers crash at once, all idle ones are reserved for others.
     assert twice.patience(lasting=False) > 6.0
-    # Users count what lasts as lost if it is away for so long.
+    # Users count a lasting task as lost after being down for that long.
     assert twice.patience(lasting=True) < 6.0
-    # Its last run had outlived its start.
+    # Its last run lived past its start.
     lived = twice.after(_crash(3)._replace(lived=PROVEN_AFTER))
     assert lived.patience(lasting=False) < 6.0
 
 
 def test_a_run_that_only_seems_to_have_lived_explains_no_crash_loop() -> None:
-    # A new owner infers that it had lived, and the task was started once more.
+    # A new owner infers the lifetime of a run, and the task was started again.
     history = CrashHistory(crashes=5, early=2, survived=PROVEN_AFTER, run=5)
     crash = Crash(5, lived=0.0, sure=False, isolated=True, hazard=0.5)
     assert history.gives_up(crash, lasting=False)
 
 
 def test_crashes_that_others_explain_give_nothing_up() -> None:
-    # As seen of a lasting task beside workers that start again every 20 s.
+    # Lifetimes as observed of a lasting task while workers restart every 20 s.
     crash = Crash(0, lived=0.0, sure=False, isolated=True, hazard=0.05)
     history = NO_CRASHES
     for number, lived in enumerate((2.7, 1.5, 2.8, 1.3, 2.0), 1):
         crash = crash._replace(run=number, lived=lived)
         history = history.after(crash, lasting=True)
         assert not history.gives_up(crash, lasting=True)
-    # Where hardly any other worker goes, they are its doing.
+    # When hardly any other worker ends, the task is the cause.
     assert history.gives_up(crash._replace(hazard=0.0004), lasting=True)
-    # Crashes at once are, whatever goes beside it.
+    # Crashes right at the start are caused by it, whatever else ends.
     history = NO_CRASHES
     for number in range(1, 6):
         crash = crash._replace(run=number, lived=0.0)
@@ -449,7 +452,7 @@
 
 
 def test_a_few_crashes_elsewhere_are_no_outage() -> None:
-    # A rack that goes at once is one event.
+    # Workers of a rack that end together count as one event.
     rack = [5.0 + 0.05 * number for number in range(8)]
     assert not is_outage(rack, 33)
     assert is_outage([1.0, *rack], 33)
--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -1,4 +1,4 @@
-"""What a new owner knows of workers that went before it came."""
+"""Tests what a new owner knows of workers that ended before it took over."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -43,7 +43,7 @@
 )
 from tests.pass_fixtures import make_step, make_worker
 
-# A task of a job of this name crashes its worker at once.
+# A task of the job with this name crashes its worker right after its start.
 _JOB = "crash"
 
 
@@ -57,7 +57,7 @@
 
 @asynccontextmanager
 async def _cell(down: float) -> AsyncIterator[tuple[StoreStandin, WorkerHall]]:
-    """Runs workers that come back after some seconds under new ids."""
+    """Runs workers that come back under new ids after `down` seconds."""
     hall = make_hall(4, _plan)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(Supervisor(hall, _plan, DownTime(down, down)).run)
@@ -71,7 +71,7 @@
 
 
 async def _history(store: StoreStandin) -> CrashHistory:
-    """Returns the crashes that are recorded under the task."""
+    """Returns the recorded crash history of the task."""
     job = make_step(_JOB, StepSpec(1, SMALL)).job
     for value in await _values(store, CRASHES):
         decode_crashes(job, value)
@@ -96,7 +96,7 @@
     async with _cell(down=8.0) as (store, hall):
         async with running(make_owner(store, hall, 1)) as owner:
             await owner.desk.submit(_JOB, QUEUE, chain(1, 1))
-            # Its lease has lapsed, and nobody knows what became of the worker.
+            # The lease of its run has lapsed, and the worker's fate is unknown.
             await wait_until(lambda: count(hall.journal, "start") == 2)
             await trio.sleep(0.2)
         assert await _history(store) == CrashHistory()
@@ -131,7 +131,7 @@
             hall.cut["a"].clear()
             await trio.sleep(1.0)
             assert not await _values(store, DOUBTS)
-            # Another owner hears it, as this one can't.
+            # The next owner reaches a worker that this one can't reach.
             await owner.desk.submit("more", QUEUE, chain(1, 1))
             await wait_until(lambda: count(hall.journal, "start") == 2)
             hall.cut["a"].add(hall.journal[-1].worker)
@@ -173,10 +173,10 @@
     heard = make_worker(life(1), 1)
     heard.heard_at = trio.current_time()
     assert recorded(heard, decided_at=1.0) == [1]
-    # A former owner may have seen it live for long.
+    # A former owner may have seen the run live for long.
     assert recorded(heard, decided_at=0.0) == []
     assert recorded(make_worker(life(1), 1), decided_at=0.0) is None
-    # It was expected to leave.
+    # A draining worker was expected to leave.
     heard.life = life(1)._replace(draining=True)
     assert recorded(heard, decided_at=1.0) is None
 
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -1,4 +1,4 @@
-"""Starts that a worker left unanswered and may carry out seconds later."""
+"""Tests unanswered starts, which a worker may carry out seconds later."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -34,12 +34,12 @@
 )
 from tests.test_http import real_time
 
-_ONE = spec(StepSpec(1, SMALL, 0.5))
-_LASTING = spec(StepSpec(1, SMALL, lasting=True))
-# Seconds that work needs to be found, decided on and recorded.
-_SOON = 2.0
-# What passes between the last record of one owner and the next one.
-_BETWEEN_OWNERS = 2.0
+_SHORT_JOB = spec(StepSpec(1, SMALL, 0.5))
+_LASTING_JOB = spec(StepSpec(1, SMALL, lasting=True))
+# Seconds in which a task that may start is decided on, recorded and started.
+_START_WITHIN = 2.0
+# Seconds between the last record of one owner and the first of the next.
+_OWNER_GAP = 2.0
 
 
 def _plan(name: TaskName) -> TaskPlan:
@@ -47,8 +47,8 @@
 
 
 @contextmanager
-def _late_orders(hall: WorkerHall) -> Iterator[None]:
-    """Has all workers carry orders out seconds later, unanswered."""
+def _delay_orders(hall: WorkerHall) -> Iterator[None]:
+    """Makes all workers leave orders unanswered and carry them out late."""
     for worker in hall.workers.values():
         worker.faults.late = 1.0
     yield
@@ -60,32 +60,32 @@
     return owner.desk.state(job).state is JobState.COMPLETED
 
 
-def _check(hall: WorkerHall) -> None:
+def _check_journal(hall: WorkerHall) -> None:
     assert not find_twice(hall.journal), find_twice(hall.journal)
     assert not find_again(hall.journal), find_again(hall.journal)
 
 
-async def _submit_late(owner: Owner, hall: WorkerHall) -> float:
+async def _submit_unanswered(owner: Owner, hall: WorkerHall) -> float:
     """Submits a job whose start isn't answered; returns when it was sent."""
-    # All have listed what runs: what isn't answered is the start.
+    # All workers have listed their runs, so only the start goes unanswered.
     await trio.sleep(0.5)
-    with _late_orders(hall):
-        await owner.desk.submit("job", QUEUE, _ONE)
+    with _delay_orders(hall):
+        await owner.desk.submit("job", QUEUE, _SHORT_JOB)
         await trio.sleep(0.1)
     return trio.current_time()
 
 
 async def test_a_task_is_not_started_elsewhere_before_its_late_start() -> None:
-    # The worker's next life would run it as well.
+    # The next life of the worker would carry out the start as well.
     hall = make_hall(2, _plan)
     async with running(make_owner(StoreStandin(), hall, 1)) as owner:
-        sent_at = await _submit_late(owner, hall)
+        sent_at = await _submit_unanswered(owner, hall)
         await wait_until(lambda: _is_done(owner, "job"))
         assert trio.current_time() - sent_at > const.LATE_START_MOST
-        longest = const.LATE_START_MOST + const.LEASE + _SOON
+        longest = const.LATE_START_MOST + const.LEASE + _START_WITHIN
         assert trio.current_time() - sent_at < longest
     assert count(hall.journal, "start") == 1
-    _check(hall)
+    _check_journal(hall)
 
 
 async def test_a_late_start_holds_nothing_up_where_ids_name_one_life() -> None:
@@ -93,27 +93,27 @@
     for worker in hall.workers.values():
         worker.life = worker.life._replace(born=0)
     async with running(make_owner(StoreStandin(), hall, 1)) as owner:
-        sent_at = await _submit_late(owner, hall)
+        sent_at = await _submit_unanswered(owner, hall)
         await wait_until(lambda: _is_done(owner, "job"))
-        assert trio.current_time() - sent_at < const.LEASE + _SOON
-    _check(hall)
+        assert trio.current_time() - sent_at < const.LEASE + _START_WITHIN
+    _check_journal(hall)
 
 
 async def test_a_lasting_task_does_not_wait_for_its_late_start() -> None:
     hall = make_hall(2, _plan)
     async with running(make_owner(StoreStandin(), hall, 1)) as owner:
         await trio.sleep(0.5)
-        with _late_orders(hall):
-            await owner.desk.submit("last", QUEUE, _LASTING)
+        with _delay_orders(hall):
+            await owner.desk.submit("last", QUEUE, _LASTING_JOB)
             await trio.sleep(0.1)
         await wait_until(
             lambda: count(hall.journal, "start") == 1,
-            const.CALL_TIMEOUT + _SOON,
+            const.CALL_TIMEOUT + _START_WITHIN,
         )
         await trio.sleep(const.LATE_START_MOST)
         assert count(hall.journal, "start") == 1
         assert owner.desk.state("last").state is JobState.RUNNING
-    _check(hall)
+    _check_journal(hall)
 
 
 async def test_a_task_that_may_run_twice_does_not_wait_for_its_late_start() -> (
@@ -123,14 +123,14 @@
     async with running(make_owner(StoreStandin(), hall, 1)) as owner:
         await trio.sleep(0.5)
         twice = spec(StepSpec(1, SMALL, 0.5, copies=True))
-        with _late_orders(hall):
+        with _delay_orders(hall):
             await owner.desk.submit("job", QUEUE, twice)
             await trio.sleep(0.1)
         sent_at = trio.current_time()
         await wait_until(lambda: _is_done(owner, "job"))
-        assert trio.current_time() - sent_at < const.LEASE + _SOON
+        assert trio.current_time() - sent_at < const.LEASE + _START_WITHIN
         await trio.sleep(const.LATE_START_MOST)
-    _check(hall)
+    _check_journal(hall)
 
 
 async def test_a_repeated_start_stays_open_until_its_first_can_not_come() -> (
@@ -139,8 +139,8 @@
     hall = make_hall(2, _plan)
     async with running(make_owner(StoreStandin(), hall, 1)) as owner:
         await trio.sleep(0.5)
-        with _late_orders(hall):
-            await owner.desk.submit("last", QUEUE, _LASTING)
+        with _delay_orders(hall):
+            await owner.desk.submit("last", QUEUE, _LASTING_JOB)
             await trio.sleep(0.1)
         sent_at = trio.current_time()
         await wait_until(lambda: count(hall.journal, "start") == 1)
@@ -148,22 +148,23 @@
         hall.workers[first.worker].restart()
         await wait_until(lambda: count(hall.journal, "start") == 2)
         again = [e for e in hall.journal if e.what == "start"][1]
-        # On the next life, or elsewhere once it can't begin there.
+        # The second start is on the next life of that worker, or elsewhere once
+        # the first start can no longer be carried out.
         late = again.at - sent_at > const.LATE_START_MOST
         assert again.worker == first.worker or late
-    _check(hall)
+    _check_journal(hall)
 
 
 async def test_new_owners_wait_for_a_late_start_no_longer() -> None:
-    # Owners that follow each other must neither forget it nor wait anew.
+    # Successive owners must neither forget the late start nor wait anew.
     with mock.patch.object(wall, "now", trio.current_time):
-        await _play_new_owners()
+        await _simulate_new_owners()
 
 
-async def _play_new_owners() -> None:
+async def _simulate_new_owners() -> None:
     store, hall = StoreStandin(), make_hall(2, _plan)
     async with running(make_owner(store, hall, 1)) as owner:
-        sent_at = await _submit_late(owner, hall)
+        sent_at = await _submit_unanswered(owner, hall)
         await trio.sleep(3.0)
     for epoch in (2, 3):
         async with running(make_owner(store, hall, epoch)):
@@ -172,10 +173,10 @@
         await wait_until(lambda: _is_done(owner, "job"))
         took = trio.current_time() - sent_at
     assert took > const.LATE_START_MOST
-    slack = _BETWEEN_OWNERS + const.LEASE + _SOON
+    slack = _OWNER_GAP + const.LEASE + _START_WITHIN
     assert took < const.LATE_START_MOST + slack, took
     assert count(hall.journal, "start") == 1
-    _check(hall)
+    _check_journal(hall)
 
 
 async def test_an_order_that_never_left_holds_nothing_up() -> None:
@@ -185,17 +186,19 @@
         for worker in hall.workers.values():
             worker.crash()
             worker.down = True
-        await owner.desk.submit("job", QUEUE, _ONE)
+        await owner.desk.submit("job", QUEUE, _SHORT_JOB)
         await trio.sleep(0.1)
         for worker in hall.workers.values():
             worker.restart()
-        await wait_until(lambda: _is_done(owner, "job"), const.LEASE + _SOON)
-    _check(hall)
+        await wait_until(
+            lambda: _is_done(owner, "job"), const.LEASE + _START_WITHIN
+        )
+    _check_journal(hall)
 
 
 @real_time
 async def test_a_start_that_found_no_connection_is_told_as_never_sent() -> None:
-    # Else a worker that is down would hold its tasks for seconds.
+    # Otherwise tasks sent to a worker that is down would be held for seconds.
     with socket.socket() as closed:
         closed.bind(("127.0.0.1", 0))
         port = closed.getsockname()[1]
@@ -210,15 +213,15 @@
 
 
 async def test_owners_that_are_killed_hold_no_task_for_ever() -> None:
-    # The life that a held run was sent to has ended, and its number with it.
+    # The life that a held run was sent to has ended, and its number is dropped.
     with mock.patch.object(wall, "now", trio.current_time):
-        await _play_killed_owners()
+        await _simulate_killed_owners()
 
 
-async def _play_killed_owners() -> None:
+async def _simulate_killed_owners() -> None:
     store, hall = StoreStandin(), make_hall(2, _plan)
     async with running(make_owner(store, hall, 1)) as owner:
-        sent_at = await _submit_late(owner, hall)
+        sent_at = await _submit_unanswered(owner, hall)
         await trio.sleep(1.0)
         for worker in hall.workers.values():
             worker.restart()
@@ -229,6 +232,6 @@
             await trio.sleep(3.0)
             if _is_done(owner, "job"):
                 break
-    slack = _BETWEEN_OWNERS + const.LEASE + _SOON
+    slack = _OWNER_GAP + const.LEASE + _START_WITHIN
     assert trio.current_time() - sent_at < const.LATE_START_MOST + slack
-    _check(hall)
+    _check_journal(hall)
--- a/tests/test_lived_runs.py
+++ b/tests/test_lived_runs.py
@@ -1,4 +1,4 @@
-"""How long runs have lived that may crash their workers passes on."""
+"""Tests that the lifetimes of suspect runs pass on to the next owner."""
 
 import trio
 
@@ -25,27 +25,27 @@
 )
 from tests.pass_fixtures import make_step, make_worker
 
-_LIVED = 4.0
+_LIVED_SECONDS = 4.0
 
 
 def _plan(_: TaskName) -> TaskPlan:
     return TaskPlan(LASTS, SMALL)
 
 
-def _lived_runs(step: Step, worker: int) -> LivedRuns:
-    """Returns what a former owner has recorded of the first run of a task."""
+def _restored_record(step: Step, worker: int) -> LivedRuns:
+    """Returns a former owner's record of the first run of a step's task."""
     ledger = Ledger(StoreStandin().client("a"), "jobs", "owner", 1)
     lived_runs = LivedRuns(ledger, list)
-    row = LivedRow(step.tasks[0].name, 1, worker, _LIVED)
+    row = LivedRow(step.tasks[0].name, 1, worker, _LIVED_SECONDS)
     lived_runs.restore(records.encode_lived([row]))
     return lived_runs
 
 
-def _suspect(worker: Worker) -> Step:
-    """Returns the step of a task that needs isolation, at work on a worker."""
+def _add_suspect_run(worker: Worker) -> Step:
+    """Adds a run of a task that needs isolation; returns the task's step."""
     step = make_step("suspect", StepSpec(1, SMALL))
     (task,) = step.tasks
-    task.crash_history = CrashHistory(3, 3, 0, _LIVED, 0)
+    task.crash_history = CrashHistory(3, 3, 0, _LIVED_SECONDS, 0)
     run = Run(1, worker.number)
     run.state = RunState.RUNNING
     task.add_run(run)
@@ -55,9 +55,9 @@
 
 def test_an_isolated_run_is_credited_with_what_a_former_owner_saw() -> None:
     worker = make_worker(life(0), 7)
-    step = _suspect(worker)
+    step = _add_suspect_run(worker)
     (run,) = worker.runs.values()
-    _lived_runs(step, 7).adopt([(step.tasks[0], run)])
+    _restored_record(step, 7).adopt([(step.tasks[0], run)])
     worker.isolate_adopted()
     run.began_at = run.state_at = 10.0
     worker.heard_at = 10.4
@@ -70,9 +70,9 @@
 
 def test_a_run_is_not_credited_with_what_it_lived_on_another_life() -> None:
     worker = make_worker(life(0), 7)
-    step = _suspect(worker)
+    step = _add_suspect_run(worker)
     (run,) = worker.runs.values()
-    _lived_runs(step, 6).adopt([(step.tasks[0], run)])
+    _restored_record(step, 6).adopt([(step.tasks[0], run)])
     assert not worker.lived(run)
 
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,4 +1,4 @@
-"""What a new owner may take for a start that was sent once."""
+"""Tests which starts a new owner may treat as sent once."""
 
 import trio
 
@@ -22,7 +22,7 @@
 )
 from tests.pass_fixtures import make_step
 
-_WATCH = spec(StepSpec(1, SMALL, lasting=True))
+_WATCH_JOB = spec(StepSpec(1, SMALL, lasting=True))
 
 
 def _plan(_: TaskName) -> TaskPlan:
@@ -34,25 +34,26 @@
     for former, recorded, runs, expected in (
         (3, 3, (), True),
         (3, 3, ((task.name, 1),), False),
-        # A former version owned since, which repeats without a record.
+        # An owner of a former version followed and resent without a record.
         (3, 2, (), False),
         (None, 3, (), False),
     ):
         ledger = Ledger(StoreStandin().client("a"), "jobs", "owner", 4)
-        repeats = ResentStarts(4, former, ledger)
-        assert not repeats.was_sent_at_most_once(task, Run(1, 0))
-        repeats.restore(records.encode_repeats(recorded, runs))
-        assert repeats.was_sent_at_most_once(task, Run(1, 0)) is expected
+        resent_starts = ResentStarts(4, former, ledger)
+        assert not resent_starts.was_sent_at_most_once(task, Run(1, 0))
+        resent_starts.restore(records.encode_repeats(recorded, runs))
+        assert resent_starts.was_sent_at_most_once(task, Run(1, 0)) is expected
 
 
 async def test_no_start_is_repeated_before_that_is_recorded() -> None:
-    # Else the next owner takes it for settled, and a late one runs it twice.
+    # Otherwise the next owner treats the start as settled, and a late start
+    # runs the task twice.
     store, hall = StoreStandin(), make_hall(1, _plan)
     (worker,) = hall.workers.values()
     async with running(make_owner(store, hall, 1)) as owner:
         await trio.sleep(0.5)
         worker.faults.late = 1.0
-        await owner.desk.submit("watch", QUEUE, _WATCH)
+        await owner.desk.submit("watch", QUEUE, _WATCH_JOB)
         await trio.sleep(0.1)
         worker.faults.late = 0.0
         store.faults.away = True
--- a/tests/test_starts_held.py
+++ b/tests/test_starts_held.py
@@ -1,4 +1,4 @@
-"""What may not be started again at once is not stopped for others' sake."""
+"""Tests that tasks which can't restart at once aren't stopped for others."""
 
 from typing import cast
 from unittest import mock
@@ -29,34 +29,35 @@
 )
 from tests.pass_fixtures import KeptOrders, make_step, make_worker, put_to_work
 
-_LASTING = Size(1900, 1000, 0)
-_SHORT = Size(2000, 1000, 0)
-_WATCH = spec(StepSpec(1, _LASTING, lasting=True))
-# Users count a task that lasts as lost if it is away for 6 s.
-_AWAY_MOST = 4.0
+_LASTING_SIZE = Size(1900, 1000, 0)
+_SHORT_SIZE = Size(2000, 1000, 0)
+_WATCH_JOB = spec(StepSpec(1, _LASTING_SIZE, lasting=True))
+# Seconds. Users count a lasting task as lost after 6 s of down time.
+_DOWN_MOST = 4.0
 
 
 def _plan(task: TaskName) -> TaskPlan:
     if task.job.startswith("short"):
-        return TaskPlan(0.5, _SHORT)
-    return TaskPlan(LASTS, _LASTING)
+        return TaskPlan(0.5, _SHORT_SIZE)
+    return TaskPlan(LASTS, _LASTING_SIZE)
 
 
 async def test_nothing_gives_way_whose_start_may_come_late() -> None:
-    # LOST: it was stopped under the next owner, and held for 11 s.
+    # Guards against a lost job: the task was stopped under the next owner and
+    # then held for 11 s.
     hall = make_hall(8, _plan)
     with mock.patch.object(wall, "now", trio.current_time):
-        await _play_unanswered(hall)
+        await _simulate_unanswered(hall)
     assert count(hall.journal, "done")
-    assert longest_away(hall.journal) < _AWAY_MOST, longest_away(hall.journal)
+    assert longest_away(hall.journal) < _DOWN_MOST, longest_away(hall.journal)
     assert not find_twice(hall.journal)
     assert not find_again(hall.journal)
 
 
-async def _play_unanswered(hall: WorkerHall) -> None:
-    """Has an owner start what lasts unanswered, and the next one be pressed."""
+async def _simulate_unanswered(hall: WorkerHall) -> None:
+    """Has one owner's starts go unanswered and puts load on its successor."""
     store = StoreStandin()
-    watch = spec(StepSpec(8, _LASTING, lasting=True))
+    watch = spec(StepSpec(8, _LASTING_SIZE, lasting=True))
     async with running(make_owner(store, hall, 1)) as owner:
         await trio.sleep(0.5)
         for worker in hall.workers.values():
@@ -66,11 +67,11 @@
         await wait_until(lambda: count(hall.journal, "start") == 32)
     for worker in hall.workers.values():
         worker.faults.lost = 0.0
-    async with running(make_owner(store, hall, 2)) as heir:
-        await heir.settled.wait()
-        short = spec(StepSpec(1, _SHORT, 0.5))
+    async with running(make_owner(store, hall, 2)) as successor:
+        await successor.settled.wait()
+        short = spec(StepSpec(1, _SHORT_SIZE, 0.5))
         for number in range(30):
-            await heir.desk.submit(f"short{number}", QUEUE, short)
+            await successor.desk.submit(f"short{number}", QUEUE, short)
             await trio.sleep(1.0)
 
 
@@ -98,21 +99,24 @@
 def _late_worker() -> tuple[Worker, float]:
     """Returns a worker with a lasting run whose start may come late."""
     worker = make_worker(life(0), 0)
-    put_to_work(worker, make_step("watch", StepSpec(1, _LASTING, lasting=True)))
+    put_to_work(
+        worker, make_step("watch", StepSpec(1, _LASTING_SIZE, lasting=True))
+    )
     (run,) = worker.runs.values()
     run.late_until = trio.current_time() + const.LATE_START_MOST
     return worker, run.late_until
 
 
 async def test_a_job_waits_until_a_run_of_it_is_seen() -> None:
-    # MIXED: jobs whose first starts were held counted as begun.
+    # Guards against wrong states: jobs whose first starts were held counted as
+    # begun.
     with mock.patch.object(wall, "now", trio.current_time):
-        await _play_pending()
+        await _simulate_pending()
 
 
-async def _play_pending() -> None:
+async def _simulate_pending() -> None:
     store, hall = StoreStandin(), make_hall(2, _plan)
-    job = spec(StepSpec(1, _SHORT, 0.5))
+    job = spec(StepSpec(1, _SHORT_SIZE, 0.5))
     async with running(make_owner(store, hall, 1)) as owner:
         await trio.sleep(0.5)
         for worker in hall.workers.values():
@@ -123,16 +127,16 @@
     for worker in hall.workers.values():
         worker.restart()
         worker.faults.late = 0.0
-    async with running(make_owner(store, hall, 2)) as heir:
-        await heir.settled.wait()
+    async with running(make_owner(store, hall, 2)) as successor:
+        await successor.settled.wait()
         await trio.sleep(2.0)
         assert not count(hall.journal, "start")
-        assert heir.desk.pending(QUEUE.name) == 1
-        await heir.desk.submit("watch", QUEUE, _WATCH)
+        assert successor.desk.pending(QUEUE.name) == 1
+        await successor.desk.submit("watch", QUEUE, _WATCH_JOB)
         await wait_until(lambda: count(hall.journal, "start") == 1)
-        assert heir.desk.pending(QUEUE.name) == 1
+        assert successor.desk.pending(QUEUE.name) == 1
         await wait_until(lambda: count(hall.journal, "start") == 2)
-        await wait_until(lambda: heir.desk.pending(QUEUE.name) == 0)
+        await wait_until(lambda: successor.desk.pending(QUEUE.name) == 0)
     async with running(make_owner(store, hall, 3)) as third:
         assert third.desk.pending(QUEUE.name) == 0
 
@@ -140,19 +144,19 @@
 async def test_what_was_carried_out_once_is_not_held_by_the_next_owner() -> (
     None
 ):
-    # LOST: a new owner takes any start of what lasts for a repeated one, and
-    # the end of the run that it brought about settles only one of them.
+    # Guards against a lost job: a new owner treated every start of a lasting
+    # task as sent twice, and the end of its run settled only one of the two.
     store, hall = StoreStandin(), make_hall(2, _plan)
     async with running(make_owner(store, hall, 1)) as owner:
         await trio.sleep(0.5)
         for worker in hall.workers.values():
             worker.faults.lost = 1.0
-        await owner.desk.submit("watch", QUEUE, _WATCH)
+        await owner.desk.submit("watch", QUEUE, _WATCH_JOB)
         await wait_until(lambda: count(hall.journal, "start") == 1)
     for worker in hall.workers.values():
         worker.faults.lost = 0.0
-    # Until its lease has lapsed, nobody owns.
+    # There is no owner until the lease of the run has lapsed.
     await trio.sleep(const.LEASE)
     async with running(make_owner(store, hall, 2)):
-        await wait_until(lambda: count(hall.journal, "start") == 2, _AWAY_MOST)
+        await wait_until(lambda: count(hall.journal, "start") == 2, _DOWN_MOST)
     assert not find_twice(hall.journal)
