--- a/pimentocross/owner/crashes.py
+++ b/pimentocross/owner/crashes.py
@@ -133,7 +133,7 @@
         self._silent_lives.sweep()
 
     def note_lapsed(self, worker: Worker) -> None:
-        """Keeps the lapsed runs of a silent worker that may have crashed."""
+        """Keeps the runs of a silent worker whose lease has lapsed."""
         self._add_lapsed(worker, self._affected_runs(worker))
 
     def _add_lapsed(self, worker: Worker, affected: list[_AffectedRun]) -> None:
@@ -156,6 +156,8 @@
     def note_replaced(self, worker: Worker) -> None:
         """Counts a crash, as another life has taken the place of this one.
 
+        A worker that was draining, or that had ended before, isn't counted.
+
         Args:
             worker: The life that has ended. Its runs must still be assigned
                 to it.
@@ -245,7 +247,7 @@
         return crash
 
     def _observed_runs(self, worker: Worker) -> Iterator[_AffectedRun]:
-        """Yields the runs that this owner saw live or has a record of."""
+        """Yields the runs that this owner started, saw or has a record of."""
         for found in self._affected_runs(worker):
             key = (found.task, found.crash.run)
             if key in self._recorded_crashes or not _is_unconfirmed(
--- a/tests/test_former_leases.py
+++ b/tests/test_former_leases.py
@@ -160,13 +160,14 @@
 
 
 async def test_owners_in_a_row_wait_once_for_a_worker_that_is_listed() -> None:
-    # LOST: each counts its predecessor anew on a worker that nobody reaches.
+    # Guards against a lost job: each owner counted its predecessor's leases
+    # anew on a worker that no owner can reach.
     store, hall = StoreStandin(), make_hall(3, _lasting)
     async with running(make_owner(store, hall, 1)) as owner:
         await owner.desk.submit("watch", QUEUE, _watch(6))
         await wait_until(lambda: count(hall.journal, "start") == 6)
         await trio.sleep(2.0)
-    # It runs on and its entry stays: it reaches the store, and no VM.
+    # The worker runs on and stays listed: it reaches the store but no VM.
     cut_off = _first_used_worker(hall)
     hall.workers[cut_off].faults.silent = True
     began = trio.current_time()
@@ -213,12 +214,12 @@
 
 
 async def _count_lapsed(owned_for: float) -> int:
-    """Returns the runs that lapse as entries come back after a take-over."""
+    """Counts leases that lapse as entries come back after a take-over."""
     store, hall = StoreStandin(), make_hall(4, _lasting)
     async with running(make_owner(store, hall, 1)) as owner:
         await owner.desk.submit("watch", QUEUE, _watch(6))
         await trio.sleep(owned_for)
-    # After an outage of the store entries are missing for up to two seconds.
+    # After a store outage, entries are missing for up to two seconds.
     hall.unlisted.update(hall.workers)
     await trio.sleep(1.4)
     async with running(make_owner(store, hall, 2, former_quiet=False)):
--- a/tests/test_starts_held.py
+++ b/tests/test_starts_held.py
@@ -97,7 +97,7 @@
 
 
 def _late_worker() -> tuple[Worker, float]:
-    """Returns a worker with a lasting run whose start may come late."""
+    """Returns a worker and the time until which its run may start late."""
     worker = make_worker(life(0), 0)
     put_to_work(
         worker, make_step("watch", StepSpec(1, _LASTING_SIZE, lasting=True))
