--- a/bench/wire_parts.py
+++ b/bench/wire_parts.py
@@ -29,6 +29,7 @@
 from pimentocross.links.asgi import HttpReply, HttpRequest
 from pimentocross.links.listener import HttpListener, ListenerLimits
 from pimentocross.observe.lateness import LoopLateness
+from pimentocross.owner.context import OwnerContext
 from pimentocross.owner.crashes import Crashes
 from pimentocross.owner.doubts import Doubts
 from pimentocross.owner.former_leases import FormerLeases
@@ -38,7 +39,6 @@
 from pimentocross.owner.learned import Learned
 from pimentocross.owner.ledger import Ledger
 from pimentocross.owner.listing_pace import ListingPace
-from pimentocross.owner.parts import CellParts
 from pimentocross.owner.patience import CallPatience
 from pimentocross.owner.repeats import Repeats
 from pimentocross.owner.terms import OwnerTerms
@@ -148,10 +148,10 @@
     ledger: Ledger,
     judge: Callable[[Worker, Task, Run | None, Ending], None],
     listed: Callable[[Worker], None],
-) -> CellParts:
+) -> OwnerContext:
     """Returns what the parts of an owner of one worker share."""
     lateness = LoopLateness()
-    return CellParts(
+    return OwnerContext(
         1,
         OwnerTerms(_LEASE),
         CallPatience(lateness, _LEASE),
--- a/bench/without.py
+++ b/bench/without.py
@@ -7,8 +7,8 @@
 import sys
 from typing import Any
 
-from pimentocross.owner import care, learned
-from pimentocross.owner.arranger import Arranger
+from pimentocross.owner import learned, run_control
+from pimentocross.owner.rebalancer import Rebalancer
 from pimentocross.owner.reclaimer import Reclaimer
 from pimentocross.placement import hosts, soundness, urgency
 from pimentocross.placement.disturbance import Disturbance, Estimate
@@ -59,12 +59,12 @@
 _MECHANISMS = {
     "closing": _put(hosts, "_closing", _zero),
     "headroom": _put(Headroom, "missing", _zero),
-    "leaving-at-once": _put(care.Care, "_must_leave", _false),
+    "leaving-at-once": _put(run_control.RunController, "_must_leave", _false),
     "margin": _put(urgency, "MARGIN", 0.0),
     "levels": _put(Disturbance, "_level", _no_level),
-    "moves": _put(Arranger, "_move", _nothing),
-    "outlook": _put(Arranger, "pass_over", _nothing),
-    "pacing": _put(care, "next_paces", _full),
+    "moves": _put(Rebalancer, "_move", _nothing),
+    "outlook": _put(Rebalancer, "pass_over", _nothing),
+    "pacing": _put(run_control, "next_paces", _full),
     "pairs": _put(Disturbance, "learn", _nothing),
     "probes": _put(Probes, "allows", _true),
     "quarantine": _put(Quarantine, "admits", _true),
@@ -73,7 +73,7 @@
     "same-image": _put(hosts, "_strangeness", _zero),
     "sickness": _put(learned, "is_sick", _false),
     "slowness": _put(soundness.Speeds, "is_slow", _false),
-    "stalls": _put(care, "is_stalled", _false),
+    "stalls": _put(run_control, "is_stalled", _false),
     "wide-steps": _put(Durations, "_slowest", _one),
     "yielding-to-others": _put(Outlook, "wanted_by_others", _zero),
 }
--- a/pimentocross/owner/absent.py
+++ b/pimentocross/owner/absent.py
@@ -10,11 +10,11 @@
 
 from pimentocross.contracts.worker_link import WorkerDialer, WorkerLife
 from pimentocross.observe.decisions import note
+from pimentocross.owner.context import OwnerContext
 from pimentocross.owner.endings import note_lost
 from pimentocross.owner.former_leases import FormerLeases
 from pimentocross.owner.late_starts import note_id_ended
 from pimentocross.owner.life_numbers import LifeNumbers
-from pimentocross.owner.parts import CellParts
 from pimentocross.owner.worker import Worker
 from pimentocross.work.spec import NO_SIZE
 from pimentocross.work.state import Job
@@ -65,7 +65,7 @@
         """Takes out the life of a number, if it is one of them."""
         return self._by_number.pop(number, None)
 
-    def bury(self, machines: Collection[str], parts: CellParts) -> None:
+    def bury(self, machines: Collection[str], parts: OwnerContext) -> None:
         """Gives those up on which nothing can run any more.
 
         Args:
@@ -94,7 +94,7 @@
                 )
 
     def _bury(
-        self, worker: Worker, parts: CellParts, *, replaced: bool
+        self, worker: Worker, parts: OwnerContext, *, replaced: bool
     ) -> None:
         del self._by_number[worker.number]
         self._numbers.forget(worker.number)
--- a/pimentocross/owner/const.py
+++ b/pimentocross/owner/const.py
@@ -2,109 +2,114 @@
 
 from typing import Final
 
-# Changes gathered into one append, which spares the store's write budget and
-# delays a task's start by half of it.
+# Changes within this time go into one append. It saves write budget of the store
+# and delays the start of a task by half of it on average.
 BATCH_PAUSE: Final = 0.015
-# An idle owner writes this often, so that a suspicious peer sees that it lives.
-BEAT_INTERVAL: Final = 0.5
-BEAT_KEY: Final = "beat"
-# A slow store answers within this.
+# An idle owner writes a heartbeat record this often, so that a peer that
+# suspects it sees that it is alive.
+HEARTBEAT_INTERVAL: Final = 0.5
+HEARTBEAT_KEY: Final = "beat"
+# Long enough for a slow store to answer.
 APPEND_TIMEOUT: Final = 1.5
 APPEND_RETRY_PAUSE: Final = 0.1
-# An append unanswered for this long means that the store is away: new jobs
-# are refused at once rather than left to wait.
+# After an append has been unanswered for this long, the store counts as
+# unavailable: new jobs are refused at once instead of being left to wait.
 AWAY_AFTER: Final = 0.8
-# ... or after as many tries that failed at once: a job that is taken in
-# meanwhile ends as one that its caller isn't sure of.
+# It also does after this many consecutive appends that failed at once. The
+# outcome of a job that is accepted meanwhile is unknown to its caller.
 AWAY_FAILURES: Final = 3
-# A caller whose job's record is on its way is told that it isn't sure after
-# this, while the store is away. Told at once, callers would use up their tries
-# before the store is back; told later, their time is over.
+# While the store is unavailable, a caller whose job record is being written gets
+# the answer "unsure" after this. Answered at once, callers would use up their
+# attempts before the store is back; answered later, their timeout has passed.
 UNSURE_AFTER: Final = 1.3
-# How often a caller's wait looks whether the store has gone away.
-AWAY_LOOK: Final = 0.1
-# Largest append, half of what the platform takes.
+# Interval at which a waiting call checks whether the store is unavailable.
+AWAY_CHECK_INTERVAL: Final = 0.1
+# Maximum size of an append: half of the platform's limit.
 APPEND_BYTES: Final = 1_000_000
 
-# Lease of what runs. Long enough for a take-over (2 s) and a lost renewal;
-# short enough that a crashed worker's tasks start again within 6 s.
+# Lease of running tasks. Long enough for a take-over (2 s) and a lost renewal;
+# short enough that the tasks of a crashed worker start again within 6 s.
 LEASE: Final = 5.0
-# Clocks of workers may be this much slower than ours.
+# Maximum relative drift by which a worker's clock may be slower than the
+# owner's.
 CLOCK_DRIFT: Final = 0.02
 LAPSE_MARGIN: Final = 0.3
-# How long an owner renews leases without an acknowledged append: rides out
-# the longest outage of the store that was announced (9 s), and some.
+# An owner renews leases for this long without an acknowledged append. It exceeds
+# the longest announced outage of the store (9 s).
 RENEWALS_WITHOUT_STORE: Final = 12.0
 
-# Renewal at least this often.
+# Maximum time that a worker may hold a listing call open, which also renews its
+# leases.
 HOLD_WAIT: Final = 1.0
-# Where tasks serve beside tasks that fill, figures are read this often.
+# The same for workers on which serving tasks run beside fillers, as their
+# readings are needed more often ...
 HOLD_WAIT_SERVING: Final = 0.5
-# ... or this often where listings cost much of the thread: two readings still
-# come within what a task may be over its target.
-HOLD_WAIT_SERVING_MOST: Final = 0.75
+# ... and its upper bound when listings take much of the owner's thread: two
+# readings still arrive within the time that a task may be over its target.
+MAX_HOLD_WAIT_SERVING: Final = 0.75
 HOLD_SLACK: Final = 0.8
 HOLD_RETRY_PAUSE: Final = 0.2
-# A start that wasn't answered may be carried out for so long ...
-LATE_START_MOST: Final = 12.0
-# ... also by the next life of the worker's id, which refuses it only once it
-# has had an order with a token of its own: meanwhile it is looked for this
-# often, up to so long after it fell silent.
+# An unanswered start may still be carried out within this time.
+LATE_START_WINDOW: Final = 12.0
+# The next life of the worker's id may carry it out as well: that life refuses
+# late starts only after an order with a token of its own. A silent worker is
+# therefore called at this short interval, up to this long after it fell silent.
 HOLD_RETRY_QUICK: Final = 0.05
 HOLD_RETRY_QUICK_FOR: Final = 2.0
-# Endings wait at most this long for their record before the lease is renewed
-# without taking note of them.
-NOTE_WAIT: Final = 1.0
-# Orders that are on their way to one worker, each on a connection of its own.
-ORDERS_AT_ONCE: Final = 4
-# Beside them a listing waits there for news.
+# Endings wait at most this long for their record; then the lease is renewed
+# without acknowledging them.
+ENDINGS_RECORD_TIMEOUT: Final = 1.0
+# Maximum concurrent orders to one worker, each on a connection of its own.
+MAX_CONCURRENT_ORDERS: Final = 4
+# In addition, each worker has one connection for the listing call.
 LISTING_CONNECTIONS: Final = 1
-# What of the descriptors connections to workers may take; the rest is for
+# Share of the file descriptors for connections to workers; the rest is for
 # peers, callers, the store and files.
-WORKERS_SHARE: Final = 0.6
-# Where nobody tells how many descriptors a process has.
-DESCRIPTORS: Final = 4096
+WORKER_DESCRIPTOR_SHARE: Final = 0.6
+# Assumed descriptor limit where the limit of the process is unknown.
+DEFAULT_DESCRIPTORS: Final = 4096
 CALL_TIMEOUT: Final = 0.8
-# After this a start that the worker gets late is refused by it.
+# A worker refuses a start that reaches it later than this after it was sent.
 START_VALIDITY: Final = 1.5
-# A start that a former owner may have sent is carried out within this of the
-# take-over: none was sent after it, but for what a call lasts.
-ADOPTED_LATE_MOST: Final = LATE_START_MOST + CALL_TIMEOUT
+# A start that a former owner may have sent is carried out within this time after
+# the take-over: the last call may have begun just before the take-over.
+ADOPTED_LATE_START_WINDOW: Final = LATE_START_WINDOW + CALL_TIMEOUT
 STOP_RETRY_PAUSE: Final = 0.3
-# A listing of endings this long may not be whole.
+# Page size of listed endings: a full page may be incomplete.
 ENDINGS_PAGE: Final = 500
 
-# Changes gathered into one pass of decisions.
-PASS_PAUSE: Final = 0.01
+# Changes within this time are handled by one scheduling pass.
+MIN_PASS_PAUSE: Final = 0.01
 PASS_INTERVAL: Final = 0.25
-# A pass places for this long before it gives the thread up: a twentieth of
-# what callers of a listing or a heartbeat wait for an answer.
+# A pass places tasks for this long before it yields the thread: a twentieth of
+# the time that callers of a listing or a heartbeat wait for an answer.
 PASS_SLICE: Final = 0.04
-# A pass rests as long as it took, and no longer than this, so that something
-# is placed several times a second.
-PASS_REST_MOST: Final = 0.25
+# The pause after a pass is as long as the pass but no longer than this, so that
+# tasks are placed several times a second.
+MAX_PASS_PAUSE: Final = 0.25
 ROSTER_INTERVAL: Final = 0.5
-# Capacities are trusted for this long after they were read. Users allow 3 s
-# and one report of a worker, which may be as old as that when it is read.
-ROSTER_TRUSTED: Final = 2.0
+# Capacities are used for this long after they were read. Users allow 3 s plus
+# one report interval of a worker, as a report may be that old when it is read.
+ROSTER_MAX_AGE: Final = 2.0
 ROSTER_TIMEOUT: Final = 1.5
 NEWEST_TIMEOUT: Final = 3.0
-# A new owner reads and adopts in slices of this: an answer to a heartbeat and
-# an append need some ten turns of the loop, 0.1 s together.
+# A new owner yields the thread after this much of reading and adopting: an
+# answer to a heartbeat plus an append need some ten turns of the event loop,
+# 0.1 s together.
 WORK_SLICE: Final = 0.01
-# A new owner that has called all workers has taken over once each has listed
-# what runs, or after this: a worker that is cut off may never.
-SETTLE_MOST: Final = 3.0
-SETTLE_LOOK: Final = 0.1
+# The take-over of a new owner is complete once all workers have listed their
+# runs, or after this time, as a worker that is cut off may never answer.
+SETTLE_TIMEOUT: Final = 3.0
+SETTLE_CHECK_INTERVAL: Final = 0.1
 
-# A job that has ended is remembered at least this long.
-ENDED_KEPT: Final = 150.0
-# ... and this much longer than a deployment asks for.
-ENDED_SLACK: Final = 30.0
+# Minimum time for which an ended job is kept.
+ENDED_JOB_RETENTION: Final = 150.0
+# Ended jobs are kept this much longer than the deployment asks for.
+ENDED_JOB_RETENTION_SLACK: Final = 30.0
 SWEEP_INTERVAL: Final = 5.0
-# An owner that gives the cell back waits this long for its last records: its
-# leases end meanwhile.
+# An owner that releases its cell waits this long for its last records, as its
+# leases expire meanwhile.
 LAST_RECORD_WAIT: Final = 1.0
-# An answer "no such job" is given only if the store acknowledged an append
-# within this, else a successor may know more.
-CURRENT_WITHIN: Final = 1.5
+# "No such job" is answered only if the store acknowledged an append within this
+# time; otherwise a successor may have accepted the job.
+MAX_ACK_AGE: Final = 1.5
--- a/pimentocross/owner/copier.py
+++ b/pimentocross/owner/copier.py
@@ -1,7 +1,8 @@
-"""Starts copies of runs that hold their steps up, and learns whether they win.
+"""Speculative execution: starts a second run (copy) of a straggling task.
 
-Which tasks have a copy is known to the owner that decided on it; a new one
-finds both runs in the records and lets the first to end count.
+The first of the two runs to end counts. Whether copies win is recorded for each
+queue. Only the owner that started a copy knows that the two runs are a pair; a
+new owner finds both runs in the records and takes the first that ends.
 """
 
 from collections.abc import Callable, Iterator, Sequence
@@ -13,11 +14,11 @@
 from pimentocross.observe import meters
 from pimentocross.observe.decisions import note
 from pimentocross.owner import wall
-from pimentocross.owner.arranger import Arranger
+from pimentocross.owner.capacity_reserve import CapacityReserve
 from pimentocross.owner.jobs import JobBook
 from pimentocross.owner.learned import Learned
 from pimentocross.owner.orders import Placement
-from pimentocross.owner.room import RoomKeeper
+from pimentocross.owner.rebalancer import Rebalancer
 from pimentocross.owner.worker import Worker
 from pimentocross.placement.copies import (
     CopyHistory,
@@ -31,12 +32,13 @@
 from pimentocross.placement.urgency import urgency
 from pimentocross.work.state import Run, RunState, Step, Task
 
-# Progress changes with listings, a few a second of each worker.
-_INTERVAL: Final = 0.1
+# Seconds. Progress changes only with the listings of workers, which arrive a
+# few times a second from each.
+_PASS_INTERVAL: Final = 0.1
 
 
-class _Lagging(NamedTuple):
-    """A run that is worth a copy."""
+class _StragglingRun(NamedTuple):
+    """A run for which a copy is worthwhile."""
 
     task: Task
     run: Run
@@ -44,11 +46,11 @@
 
 
 class _Pair(NamedTuple):
-    """A run and its copy, by their numbers.
+    """The run numbers of a run and its copy.
 
     Attributes:
-        original: The run that was there first.
-        copy: The other one.
+        original: Number of the run that was started first.
+        copy: Number of the copy.
     """
 
     original: int
@@ -56,66 +58,70 @@
 
 
 class Copier:
-    """Decides on copies once all that waits was looked at."""
+    """Decides which runs get a copy, after all waiting steps were tried."""
 
     def __init__(
         self,
         book: JobBook,
         learned: Learned,
-        arranger: Arranger,
-        room: RoomKeeper,
+        rebalancer: Rebalancer,
+        room: CapacityReserve,
     ) -> None:
-        """Takes what it decides by.
+        """Initializes the copier.
 
         Args:
             book: The jobs.
-            learned: What was learned of tasks and workers.
-            arranger: Knows what the room of workers is worth.
-            room: Knows what has to stay free.
+            learned: Statistics about tasks and workers.
+            rebalancer: Holds the view by which workers are chosen.
+            room: Computes how much capacity has to stay free.
         """
         self._book = book
         self._learned = learned
-        self._arranger = arranger
+        self._rebalancer = rebalancer
         self._room = room
         self._history = CopyHistory()
         self._pairs: dict[Task, _Pair] = {}
         self._passed_at = float("-inf")
 
     def pass_over(
-        self, find_sound: Callable[[float], Sequence[Worker]], now: float
+        self, find_healthy: Callable[[float], Sequence[Worker]], now: float
     ) -> list[Placement]:
         """Returns the copies to start.
 
         Args:
-            find_sound: Returns the workers that are in no trouble.
-            now: Present time.
+            find_healthy: Returns the workers that are neither unsound nor
+                quarantined at a time.
+            now: Present time, monotonic.
         """
-        if now - self._passed_at < _INTERVAL:
+        if now - self._passed_at < _PASS_INTERVAL:
             return []
         self._passed_at = now
         self._forget_ended()
-        lagging = sorted(
-            self._lagging(now), key=lambda found: -found.straggler.left
+        stragglers = sorted(
+            self._find_stragglers(now), key=lambda found: -found.straggler.left
         )
-        if not lagging:
+        if not stragglers:
             return []
-        sound = find_sound(now)
-        room = self._free_room(sound, now)
+        healthy = find_healthy(now)
+        room = self._free_room(healthy, now)
         placed = []
-        for found in lagging:
-            asked = found.task.step.spec.size.cpu
-            if not room.admits(asked) or not self._admits(found.task.step, now):
+        for found in stragglers:
+            cpu_requested = found.task.step.spec.size.cpu
+            if not room.admits(cpu_requested) or not self._admits(
+                found.task.step, now
+            ):
                 continue
-            placement = self._place(found, sound, now)
+            placement = self._place(found, healthy, now)
             if placement is not None:
                 placed.append(placement)
-                room = room.after(asked)
+                room = room.after(cpu_requested)
         return placed
 
     def note_ended(self, task: Task, run: Run | None, ending: Ending) -> None:
-        """Learns from the end of a run that has a copy, or is one.
+        """Updates the copy statistics when a run of a pair has ended.
 
-        The ending has been taken in, and the other run not been stopped yet.
+        Has to be called after the ending was applied to the task and before
+        the other run is stopped.
         """
         pair = self._pairs.get(task)
         if pair is None or run is None:
@@ -128,12 +134,12 @@
         if ending.how is not EndKind.DONE or other is None:
             return
         if other.state is RunState.RUNNING:
-            self._judge(task, other, won=won)
+            self._record_verdict(task, other, won=won)
 
-    def _judge(self, task: Task, other: Run, *, won: bool) -> None:
+    def _record_verdict(self, task: Task, other: Run, *, won: bool) -> None:
         queue = task.step.job.queue.name
         now = trio.current_time()
-        left = self._left(task.step, other, now)
+        left = self._remaining_seconds(task.step, other, now)
         self._history.note_verdict(queue, won=won)
         if won:
             worked = now - other.state_at + left
@@ -151,12 +157,12 @@
         )
 
     def _forget_ended(self) -> None:
-        """Forgets pairs of which a run is gone without an ending."""
+        """Forgets pairs of which a run was dropped without an ending."""
         for task, pair in list(self._pairs.items()):
             if not {pair.original, pair.copy} <= task.runs.keys():
                 del self._pairs[task]
 
-    def _lagging(self, now: float) -> Iterator[_Lagging]:
+    def _find_stragglers(self, now: float) -> Iterator[_StragglingRun]:
         for step in self._book.steps_at_work():
             if not _may_have_copies(step):
                 continue
@@ -168,34 +174,34 @@
                 if run is None:
                     continue
                 straggler = Straggler(
-                    self._left(step, run, now),
-                    self._fresh(step),
+                    self._remaining_seconds(step, run, now),
+                    self._fresh_run_seconds(step),
                     step.undone,
                     step.spec.width,
                     chance,
                 )
                 if is_worth_copy(straggler):
-                    yield _Lagging(task, run, straggler)
+                    yield _StragglingRun(task, run, straggler)
 
-    def _left(self, step: Step, run: Run, now: float) -> float:
-        """Returns how many seconds a run is expected to take on."""
-        heard_at = run.percent_at if run.percent else now
+    def _remaining_seconds(self, step: Step, run: Run, now: float) -> float:
+        """Returns the expected remaining seconds of a run."""
+        reported_at = run.percent_at if run.percent else now
         left = self._learned.durations.remaining(
             step,
-            max(heard_at - run.state_at, 0.0),
+            max(reported_at - run.state_at, 0.0),
             run.percent,
         )
-        return max(left - (now - heard_at), 0.0)
+        return max(left - (now - reported_at), 0.0)
 
-    def _fresh(self, step: Step) -> float:
+    def _fresh_run_seconds(self, step: Step) -> float:
         return self._learned.durations.by_tasks(step)
 
-    def _free_room(self, sound: Sequence[Worker], now: float) -> CopyRoom:
+    def _free_room(self, healthy: Sequence[Worker], now: float) -> CopyRoom:
         waiting = self._book.open_steps(wall.now())
-        spare = self._room.spare(sound, waiting, now) - sum(
+        spare = self._room.spare(healthy, waiting, now) - sum(
             step.waiting_count * step.spec.committed.cpu for step in waiting
         )
-        capacity = sum(worker.life.capacity.cpu for worker in sound)
+        capacity = sum(worker.life.capacity.cpu for worker in healthy)
         taken = sum(task.step.spec.size.cpu for task in self._pairs)
         return CopyRoom(capacity, spare, taken)
 
@@ -207,15 +213,15 @@
         return self._history.admits(queue, undecided, now)
 
     def _place(
-        self, found: _Lagging, sound: Sequence[Worker], now: float
+        self, found: _StragglingRun, healthy: Sequence[Worker], now: float
     ) -> Placement | None:
         task, original, straggler = found
-        left_out = task.failed_on | {original.worker}
+        excluded = task.failed_on | {original.worker}
         places = Few(
-            [w for w in sound if w.number not in left_out],
-            self._arranger.view,
+            [w for w in healthy if w.number not in excluded],
+            self._rebalancer.view,
         )
-        worker = places.choose(task, _rack_of(task.step, sound))
+        worker = places.choose(task, _rack_of(task.step, healthy))
         if worker is None:
             return None
         run = Run(task.last_run + 1, worker.number, now)
@@ -243,10 +249,11 @@
 
 
 def _may_have_copies(step: Step) -> bool:
-    """True if copies of a step are allowed, and one may be needed.
+    """Returns whether copies of a step are allowed and may be needed.
 
-    What saves its progress would save that of either run in turn; what fills
-    goes at the pace that others leave it.
+    Steps that save checkpoints get no copies, as both runs would save theirs in
+    turn. Neither do fillers, as their speed depends on the capacity that
+    serving tasks leave them.
     """
     spec = step.spec
     if not spec.copies or spec.lasting or spec.gang:
@@ -257,10 +264,10 @@
 
 
 def _only_run(task: Task, now: float) -> Run | None:
-    """Returns the run of a task that may have a copy, or None.
+    """Returns the only run of a task if it may get a copy, else None.
 
-    Either run may fail, and the job must not be out of attempts by the first
-    that does while the other goes on.
+    Two attempts have to be left: if one of the runs fails, the job must not run
+    out of attempts while the other run continues.
     """
     if task.done or len(task.runs) != 1 or task.not_before > now:
         return None
@@ -271,7 +278,7 @@
     run = next(iter(task.runs.values()))
     if run.state is not RunState.RUNNING or not run.began_at:
         return None
-    # What a former owner had started worked for an unknown time.
+    # It is unknown how long a run that a former owner started has worked.
     return None if run.is_adopted or run.paced_at else run
 
 
--- a/pimentocross/owner/desk.py
+++ b/pimentocross/owner/desk.py
@@ -125,7 +125,7 @@
 
     def pending(self, queue: str) -> int | None:
         """Returns how many jobs of a queue wait, or None if unsure."""
-        if self._ledger.age() > const.CURRENT_WITHIN:
+        if self._ledger.age() > const.MAX_ACK_AGE:
             return None
         return self._book.pending(queue)
 
@@ -136,7 +136,7 @@
             waited = trio.current_time() - asked_at
             if self._ledger.away and waited >= const.UNSURE_AFTER:
                 return False
-            with trio.move_on_after(const.AWAY_LOOK):
+            with trio.move_on_after(const.AWAY_CHECK_INTERVAL):
                 await batch.stored.wait()
         return True
 
@@ -146,7 +146,7 @@
             del self._storing[job_id]
 
     def _unknown(self) -> JobReply:
-        if self._ledger.age() > const.CURRENT_WITHIN or not self._knows_all():
+        if self._ledger.age() > const.MAX_ACK_AGE or not self._knows_all():
             # A successor may have taken jobs in that aren't known here.
             return JobReply(Outcome.STORE_AWAY)
         return JobReply(Outcome.NO_SUCH_JOB)
--- a/pimentocross/owner/dispatcher.py
+++ b/pimentocross/owner/dispatcher.py
@@ -1,4 +1,4 @@
-"""Passes over what waits: decides what starts where."""
+"""Scheduling passes: decides which waiting tasks start on which workers."""
 
 from collections.abc import Callable, Sequence
 import math
@@ -13,9 +13,8 @@
 from pimentocross.observe.decisions import note
 from pimentocross.owner import const, wall
 from pimentocross.owner.advice import AdviceDesk
-from pimentocross.owner.arranger import Arranger
 from pimentocross.owner.backlog import Backlog
-from pimentocross.owner.care import Care
+from pimentocross.owner.capacity_reserve import CapacityReserve, is_short
 from pimentocross.owner.copier import Copier
 from pimentocross.owner.isolation import Isolation
 from pimentocross.owner.jobs import JobBook
@@ -25,9 +24,10 @@
 from pimentocross.owner.orders import Orders, Placement
 from pimentocross.owner.pass_share import PassShare, Round
 from pimentocross.owner.placer import Placer
+from pimentocross.owner.rebalancer import Rebalancer
 from pimentocross.owner.reclaimer import Reclaimer
-from pimentocross.owner.room import RoomKeeper, is_short
 from pimentocross.owner.roster import Roster
+from pimentocross.owner.run_control import RunController
 from pimentocross.owner.worker import Worker
 from pimentocross.placement.reclaim import TASKS_MOST
 from pimentocross.placement.triage import Order
@@ -35,27 +35,28 @@
 from pimentocross.work.queue import WorkConfig
 from pimentocross.work.state import Run, Step, Task
 
-# Steps without room after which a pass gives up on their kind: what follows is
-# less urgent, and most of it as large. Those that fill are of one kind if they
-# run the same image: one that is shut out nearly everywhere holds up no other.
-_MISSES_MOST: Final = 40
-_MISSES_MOST_OF_IMAGE: Final = 8
+# Steps that may fail to be placed before a pass skips the rest of their
+# placement class: the remaining steps are less urgent, and most are as large.
+# Filler steps share a class only if they run the same image, so that an image
+# that is excluded from most workers doesn't hold up other images.
+_MAX_MISSES: Final = 40
+_MAX_MISSES_PER_IMAGE: Final = 8
 
 
-class _Kind(NamedTuple):
-    """Steps that find room in the same places."""
+class _PlacementClass(NamedTuple):
+    """Key of steps that can be placed on the same workers."""
 
     lasting: bool
     filling_image: str
 
     @property
-    def misses_most(self) -> int:
-        """Steps without room after which the others aren't looked at."""
-        return _MISSES_MOST_OF_IMAGE if self.filling_image else _MISSES_MOST
+    def max_misses(self) -> int:
+        """Failed placements after which a pass skips the rest of the class."""
+        return _MAX_MISSES_PER_IMAGE if self.filling_image else _MAX_MISSES
 
 
-class _Ranked(NamedTuple):
-    """A step that waits, and how urgent it is; sorts by that."""
+class _RankedStep(NamedTuple):
+    """A waiting step with its urgency; sorts by urgency."""
 
     rank: Order
     number: int
@@ -63,11 +64,11 @@
 
 
 class Dispatcher:
-    """Decides, and has orders sent.
+    """Decides which runs to start, stop, pace or copy, and sends the orders.
 
     Attributes:
         advice: Tickets for steps that only some workers may run.
-        backlog: What waits for room.
+        backlog: The steps that wait for free capacity.
     """
 
     def __init__(
@@ -79,14 +80,15 @@
         adviser: Adviser | None,
         switches: Switches = ALL_ON,
     ) -> None:
-        """Takes what it decides on and by.
+        """Initializes the dispatcher of a cell.
 
         Args:
             book: The jobs.
             roster: The workers.
-            learned: What was learned of tasks and workers.
+            learned: Statistics about tasks and workers.
             config: Returns the configuration in force.
-            adviser: Knows who may run some steps, if there is one.
+            adviser: Decides which workers may run the steps of some queues;
+                None if there is no adviser.
             switches: Parts that are switched off.
         """
         self.advice = AdviceDesk(adviser, self.wake)
@@ -97,12 +99,12 @@
         self._roster = roster
         self._config = config
         self._learned = learned
-        self._care = Care(roster, learned)
-        self._arranger = Arranger(learned)
+        self._care = RunController(roster, learned)
+        self._rebalancer = Rebalancer(learned)
         self._reclaimer = Reclaimer()
-        self._room = RoomKeeper()
+        self._room = CapacityReserve()
         self._copies = switches.is_on(Part.COPIES)
-        self._copier = Copier(book, learned, self._arranger, self._room)
+        self._copier = Copier(book, learned, self._rebalancer, self._room)
         self._load_log = LoadLog()
         self._isolation = Isolation()
         self._share = PassShare()
@@ -111,50 +113,50 @@
         self._wake = trio.Event()
 
     def wake(self) -> None:
-        """Has decisions made anew."""
+        """Requests a scheduling pass."""
         self._wake.set()
 
     async def run(self, orders: Orders) -> None:
-        """Decides whenever something changed, for ever."""
+        """Runs a pass on each wake-up and each PASS_INTERVAL, forever."""
         while True:
             with trio.move_on_after(const.PASS_INTERVAL):
                 await self._wake.wait()
-            await self._share.rest()
+            await self._share.pause()
             self._wake = trio.Event()
             with self._share.measured():
-                self._pass_over(orders)
-            meters.add_pass(self._share.took)
-            if self._round.cut:
+                self._run_pass(orders)
+            meters.add_pass(self._share.duration)
+            if self._round.interrupted:
                 self.wake()
 
-    def _pass_over(self, orders: Orders) -> None:
+    def _run_pass(self, orders: Orders) -> None:
         self._apply_config()
         self._learned.disturbance.advance(trio.current_time())
         self._care.pass_over(orders)
-        if not self._round.cut:
+        if not self._round.interrupted:
             self._round = Round()
         self._round.begin_pass()
         self._start_waiting(orders)
-        if self._copies and not self._round.cut:
+        if self._copies and not self._round.interrupted:
             self._start_copies(orders)
         self._log_load()
 
-    def judge(
+    def on_ending(
         self, worker: Worker, task: Task, run: Run | None, ending: Ending
     ) -> None:
-        """Learns from an ending that was taken in."""
+        """Updates the statistics from an ending that has been recorded."""
         self._learned.judge(worker, task, run, ending)
         self._copier.note_ended(task, run, ending)
 
     def forget_life(self, life: str) -> None:
-        """Forgets what was known of a life, as the next one has its id."""
+        """Drops the state of a worker life, as the next life reuses its id."""
         self.advice.forget_life(life)
         self._learned.quarantine.forget(life)
 
     def on_refused(
         self, worker: Worker, task: Task, verdict: StartVerdict
     ) -> None:
-        """Learns from a refused start."""
+        """Updates tickets and quarantine after a worker refused a start."""
         if verdict is StartVerdict.NO_TICKET:
             self.advice.forget(task.step)
         if verdict is StartVerdict.UNHEALTHY:
@@ -171,44 +173,45 @@
             self._applied_version = config.version
 
     def _start_waiting(self, orders: Orders) -> None:
-        """Places what waits, the most urgent first, and makes room for it."""
-        now, today = trio.current_time(), wall.now()
-        steps = self._book.open_steps(today)
+        """Places waiting tasks, most urgent first, and frees capacity."""
+        now, wall_time = trio.current_time(), wall.now()
+        steps = self._book.open_steps(wall_time)
         if not steps:
             self.backlog.look((), (), 0.0, now)
             return
         usable = self._roster.usable()
-        sound = self._sound(usable, now)
-        spare = self._room.spare(sound, steps, now)
-        ranked = self._ranked(steps, sound, now, today)
-        worth_a_place = (
+        healthy = self._healthy_workers(usable, now)
+        spare = self._room.spare(healthy, steps, now)
+        ranked = self._ranked(steps, healthy, now, wall_time)
+        feasible = (
             step for rank, _, step in ranked if rank.chance < Chance.HOPELESS
         )
-        self._arranger.pass_over(worth_a_place, sound, orders, now)
-        self._arranger.renew_probes(sound, now)
+        self._rebalancer.pass_over(feasible, healthy, orders, now)
+        self._rebalancer.renew_probes(healthy, now)
         placer = Placer(
-            sound,
+            healthy,
             usable,
             self._learned,
-            self._arranger,
+            self._rebalancer,
             self.advice,
             self._isolation,
             now,
         )
         placements: list[Placement] = []
-        missed_short = self._round.missed_short
+        unplaced_short = self._round.unplaced_short
         self._share.begin_placing()
         for rank, _, step in ranked:
-            kind = _kind_of(step)
-            if not self._round.wants(step, kind, kind.misses_most):
+            kind = _placement_class_of(step)
+            if not self._round.should_try(step, kind, kind.max_misses):
                 continue
             if spare <= 0 and self._room.is_held_back(step, now):
                 continue
             if self._reclaimer.has_to_wait(step, now):
                 continue
-            # Else renewals and heartbeats wait until all was looked at.
+            # Otherwise lease renewals and heartbeats would wait until the
+            # pass has tried all steps.
             if self._share.is_spent:
-                self._round.cut = True
+                self._round.interrupted = True
                 break
             placed = placer.place(step)
             if not placed and self._room.needs_any_worker(step, now):
@@ -218,48 +221,57 @@
                 self._room.forget(step)
             spare -= sum(p.task.step.spec.committed.cpu for p in placed)
             self._round.note(step, kind, found_room=bool(placed))
-            if step.waiting_count and is_short(step) and _is_in_time(rank):
-                missed_short.add(step)
-        missed = [step for _, _, step in ranked if step in missed_short]
-        if self._round.carried and not self._round.cut:
-            # Room may have come since they were looked at, in a former pass.
-            for step in missed[:TASKS_MOST]:
+            if (
+                step.waiting_count
+                and is_short(step)
+                and _can_meet_objective(rank)
+            ):
+                unplaced_short.add(step)
+        unplaced = [step for _, _, step in ranked if step in unplaced_short]
+        if self._round.is_continuation and not self._round.interrupted:
+            # Capacity may have become free since an earlier pass of the round
+            # tried these steps.
+            for step in unplaced[:TASKS_MOST]:
                 placements.extend(placer.place(step))
-        self._send(placements, orders)
-        if not self._round.cut:
-            self._reclaimer.pass_over(missed, sound, orders, self._room, now)
+        self._send_starts(placements, orders)
+        if not self._round.interrupted:
+            self._reclaimer.pass_over(
+                unplaced, healthy, orders, self._room, now
+            )
 
     def _start_copies(self, orders: Orders) -> None:
-        """Starts copies of what lags, in room that is left over."""
+        """Starts copies of straggling runs in the capacity left over."""
         placements = self._copier.pass_over(
-            lambda now: self._sound(self._roster.usable(), now),
+            lambda now: self._healthy_workers(self._roster.usable(), now),
             trio.current_time(),
         )
-        self._send(placements, orders)
+        self._send_starts(placements, orders)
 
     def _ranked(
         self,
         steps: Sequence[Step],
         workers: Sequence[Worker],
         now: float,
-        today: float,
-    ) -> list[_Ranked]:
-        """Returns steps in the order in which they are started."""
-        ranks = [(self._rank(step, now, today), step) for step in steps]
+        wall_time: float,
+    ) -> list[_RankedStep]:
+        """Returns the steps in the order in which they are tried."""
+        ranks = [(self._rank(step, now, wall_time), step) for step in steps]
         self.backlog.look(ranks, workers, self._room.share, now)
         return sorted(
-            _Ranked(self.backlog.order(rank, step), number, step)
+            _RankedStep(self.backlog.order(rank, step), number, step)
             for number, (rank, step) in enumerate(ranks)
         )
 
-    def _rank(self, step: Step, now: float, today: float) -> Urgency:
-        rank = urgency(step, self._learned.durations, today)
+    def _rank(self, step: Step, now: float, wall_time: float) -> Urgency:
+        rank = urgency(step, self._learned.durations, wall_time)
         if self._reclaimer.comes_after_short(step, now):
             return rank._replace(chance=Chance.TIGHT, spare=math.inf)
         return rank
 
-    def _sound(self, workers: Sequence[Worker], now: float) -> list[Worker]:
-        """Returns those that are in no trouble."""
+    def _healthy_workers(
+        self, workers: Sequence[Worker], now: float
+    ) -> list[Worker]:
+        """Returns the workers that are neither unsound nor quarantined."""
         return [
             worker
             for worker in workers
@@ -280,7 +292,7 @@
                 now,
             )
 
-    def _send(self, placements: list[Placement], orders: Orders) -> None:
+    def _send_starts(self, placements: list[Placement], orders: Orders) -> None:
         batch: Batch | None = None
         for job in {p.task.step.job: None for p in placements}:
             batch = self._book.changed(job)
@@ -297,11 +309,11 @@
         orders.start(placements, batch)
 
 
-def _kind_of(step: Step) -> _Kind:
+def _placement_class_of(step: Step) -> _PlacementClass:
     spec = step.spec
-    return _Kind(spec.lasting, spec.image if spec.fills else "")
+    return _PlacementClass(spec.lasting, spec.image if spec.fills else "")
 
 
-def _is_in_time(rank: Order) -> bool:
-    """True if the job can still meet its objective."""
+def _can_meet_objective(rank: Order) -> bool:
+    """Returns whether the job can still meet its objective."""
     return rank.chance <= Chance.TIGHT
--- a/pimentocross/owner/keeper.py
+++ b/pimentocross/owner/keeper.py
@@ -16,10 +16,10 @@
 from pimentocross.observe import meters
 from pimentocross.observe.decisions import note
 from pimentocross.owner import const
+from pimentocross.owner.context import OwnerContext, RunStopper
 from pimentocross.owner.endings import apply_ending, note_lost
 from pimentocross.owner.late_starts import may_be_repeated, note_id_ended
 from pimentocross.owner.ledger import Batch
-from pimentocross.owner.parts import CellParts, Stops
 from pimentocross.owner.worker import Worker
 from pimentocross.work.state import TERMINAL, Job, Run, RunState, Task
 
@@ -30,10 +30,12 @@
 class Keeper:
     """Holds one worker until its life has ended."""
 
-    def __init__(self, worker: Worker, parts: CellParts, stops: Stops) -> None:
+    def __init__(
+        self, worker: Worker, context: OwnerContext, stops: RunStopper
+    ) -> None:
         """Takes the worker, what the parts share, and who stops runs."""
         self._worker = worker
-        self._parts = parts
+        self._context = context
         self._stops = stops
         self._applied = 0
         self._unrecorded = False
@@ -77,17 +79,17 @@
                     # It was on its way while the worker started again.
                     await trio.sleep(const.HOLD_RETRY_PAUSE)
                     continue
-                self._parts.lives.note_born(worker, reply.born)
+                self._context.lives.note_born(worker, reply.born)
                 if worker.gone:
                     break
             self._on_heard(reply, sent_at)
             batch = self._take_in(reply, sent_at)
-            self._parts.pace.note(trio.current_time() - worker.heard_at)
+            self._context.pace.note(trio.current_time() - worker.heard_at)
             if reply.endings:
                 await self._note_endings(reply.endings[-1].number, batch)
             if worker.cleared is not None:
                 # Its lease is renewed with the next call, which comes at once.
-                with trio.move_on_after(const.NOTE_WAIT):
+                with trio.move_on_after(const.ENDINGS_RECORD_TIMEOUT):
                     await worker.cleared.wait()
                     worker.cleared = None
 
@@ -105,12 +107,12 @@
         worker.replaced = replaced
         if replaced:
             note_id_ended(worker)
-            self._parts.crashes.note_replaced(worker)
+            self._context.crashes.note_replaced(worker)
         else:
-            self._parts.crashes.note_absent(worker)
+            self._context.crashes.note_absent(worker)
         self._drop_all(reason)
         if replaced:
-            self._parts.lives.note_replaced(worker)
+            self._context.lives.note_replaced(worker)
 
     def hand_over(self, reason: str) -> list[tuple[Task, Run]]:
         """Buries the life, as the next one of its id answers in its place.
@@ -124,7 +126,7 @@
         if worker.gone:
             return []
         worker.gone = True
-        self._parts.crashes.note_replaced(worker)
+        self._context.crashes.note_replaced(worker)
         now = trio.current_time()
         unsure = [
             (task, run)
@@ -144,12 +146,12 @@
             worker.lease_end = max(worker.lease_end or 0.0, deadline)
         # The ends of another life must not be forgotten unread.
         seen = 0 if worker.doubtful else worker.seen
-        token = self._parts.token_for(worker)
+        token = self._context.token_for(worker)
         return await worker.link.hold(token, seen, deadline, wait, timeout)
 
     def _timeout(self, wait: float, now: float) -> float:
         """Returns the timeout of a listing."""
-        timeout = self._parts.patience.for_hold(wait, now)
+        timeout = self._context.patience.for_hold(wait, now)
         left = self._worker.lapses_at - now
         if self._worker.reached or left <= 0:
             return timeout
@@ -161,7 +163,7 @@
         worker = self._worker
         if not worker.reached or not worker.adopted:
             return False
-        patience = self._parts.patience
+        patience = self._context.patience
         return patience.excuses(sent_at, wait, timeout, worker.heard_at)
 
     def _retry_pause(self) -> float:
@@ -180,9 +182,9 @@
             return None
         if worker.cleared is not None:
             return None
-        if now - self._parts.ledger.stored_at > const.RENEWALS_WITHOUT_STORE:
+        if now - self._context.ledger.stored_at > const.RENEWALS_WITHOUT_STORE:
             return None
-        return worker.clock.after(self._parts.terms.lease, now)
+        return worker.clock.after(self._context.terms.lease, now)
 
     def _wait(self, now: float) -> float:
         worker = self._worker
@@ -191,8 +193,8 @@
         if self._unrecorded or self._excused or worker.cleared is not None:
             return 0.0
         if not worker.serves:
-            return self._parts.pace.wait(now, serving=False)
-        wait = self._parts.pace.wait(now, serving=worker.filled > 0)
+            return self._context.pace.wait(now, serving=False)
+        wait = self._context.pace.wait(now, serving=worker.filled > 0)
         # A filler that comes meanwhile is first read at the next listing, and
         # what it disturbs must not be over its target for four seconds.
         return min(wait, const.HOLD_WAIT)
@@ -204,10 +206,10 @@
             note("worker_silent", worker=worker.life.id, reason=reason)
             worker.reached = False
             worker.silent_at = trio.current_time()
-            self._parts.crashes.note_silent(worker)
+            self._context.crashes.note_silent(worker)
         if worker.lapsed(trio.current_time()):
             if worker.listed:
-                self._parts.crashes.note_lapsed(worker)
+                self._context.crashes.note_lapsed(worker)
                 self._drop_all("its lease has lapsed")
             else:
                 reason = "its lease has lapsed and it isn't listed"
@@ -224,16 +226,16 @@
         if not worker.reached:
             note("worker_heard", worker=worker.life.id)
             worker.reached = True
-            self._parts.crashes.note_heard(worker)
+            self._context.crashes.note_heard(worker)
         elif not worker.adopted:
-            self._parts.crashes.note_heard(worker)
+            self._context.crashes.note_heard(worker)
         if worker.barred:
-            self._parts.former_leases.clear(worker)
+            self._context.former_leases.clear(worker)
         if worker.lease_end is None:
             # A former owner is fenced from now on; this is the most that it
             # may have granted. A deadline on the clock of a former life lies
             # far ahead, and is cut to the longest lease that there is.
-            terms = self._parts.terms
+            terms = self._context.terms
             lease = terms.granted_most if worker.follows else terms.lease
             worker.lease_end = worker.clock.after(lease, now)
 
@@ -244,19 +246,19 @@
         self._take_endings(reply.endings, changed)
         if len(reply.endings) < const.ENDINGS_PAGE:
             self._settle_missing(found, sent_at, changed)
-        self._parts.listed(self._worker)
+        self._context.listed(self._worker)
         if self._worker.suspects:
             isolating = self._worker.is_isolating
-            self._parts.crashes.note_listed_runs(self._worker)
+            self._context.crashes.note_listed_runs(self._worker)
             if isolating:
-                self._parts.wake()
+                self._context.wake()
         first_time = not self._worker.adopted
         self._worker.adopted = True
         batch: Batch | None = None
         for job in changed:
-            batch = self._parts.book.changed(job)
+            batch = self._context.book.changed(job)
         if changed or first_time:
-            self._parts.wake()
+            self._context.wake()
         return batch
 
     def _take_running(
@@ -264,7 +266,7 @@
     ) -> set[tuple[Task, int]]:
         now = self._worker.heard_at
         runs = self._worker.runs
-        find_task = self._parts.book.find_task
+        find_task = self._context.book.find_task
         found = set()
         for entry in listed:
             task = find_task(entry.task)
@@ -293,7 +295,7 @@
     def _take_unexpected(self, task: Task, number: int) -> Run:
         """Takes in a run that is listed though it was not expected there."""
         worker = self._worker
-        held = self._parts.late_starts.take_held(task, number, worker)
+        held = self._context.late_starts.take_held(task, number, worker)
         if held is not None:
             return held
         wanted = task.waiting and not task.step.job.ended
@@ -327,17 +329,17 @@
             if ending.number <= self._applied:
                 continue
             self._applied = ending.number
-            task = self._parts.book.find_task(ending.task)
+            task = self._context.book.find_task(ending.task)
             if task is None:
                 continue
-            self._parts.late_starts.take_held(task, ending.run, self._worker)
+            self._context.late_starts.take_held(task, ending.run, self._worker)
             run = apply_ending(task, ending, self._worker)
             if run is not None:
                 run.note_start_settled()
-                self._parts.late_starts.hold(task, run)
-            self._parts.judge(self._worker, task, run, ending)
+                self._context.late_starts.hold(task, run)
+            self._context.on_ending(self._worker, task, run, ending)
             if ending.how in _PROVE_HARMLESS:
-                self._parts.crashes.note_ended(task, run)
+                self._context.crashes.note_ended(task, run)
             changed[task.step.job] = None
 
     def _settle_missing(
@@ -361,7 +363,7 @@
             elif (
                 run.state is RunState.STOPPING and 0 < run.stopped_at < sent_at
             ):
-                self._parts.late_starts.drop(task, number, self._worker)
+                self._context.late_starts.drop(task, number, self._worker)
                 changed[task.step.job] = None
 
     def _may_repeat(self, task: Task, run: Run) -> bool:
@@ -374,7 +376,7 @@
             and not self._worker.follows
             and (
                 not self._worker.adopted
-                or self._parts.may_start_on(self._worker)
+                or self._context.may_start_on(self._worker)
             )
         )
 
@@ -382,8 +384,8 @@
         """Waits until endings are recorded; only then they're taken note of."""
         if batch is None:
             # All were known: those of an earlier listing, or of no known job.
-            batch = self._parts.ledger.barrier()
-        with trio.move_on_after(const.NOTE_WAIT):
+            batch = self._context.ledger.barrier()
+        with trio.move_on_after(const.ENDINGS_RECORD_TIMEOUT):
             await batch.stored.wait()
         self._unrecorded = not batch.stored.is_set()
         if not self._unrecorded:
@@ -398,11 +400,11 @@
         note_lost(worker, reason)
         jobs: dict[Job, None] = {}
         for task, number in list(worker.runs):
-            self._parts.late_starts.drop(task, number, worker)
+            self._context.late_starts.drop(task, number, worker)
             jobs[task.step.job] = None
         for job in jobs:
-            self._parts.book.changed(job)
-        self._parts.wake()
+            self._context.book.changed(job)
+        self._context.wake()
 
 
 def _update(task: Task, run: Run, entry: Listed, now: float) -> None:
--- a/pimentocross/owner/late_starts.py
+++ b/pimentocross/owner/late_starts.py
@@ -113,7 +113,10 @@
                 return
         if life is not None and not life.born:
             return
-        left = min(left or const.ADOPTED_LATE_MOST, const.ADOPTED_LATE_MOST)
+        left = min(
+            left or const.ADOPTED_LATE_START_WINDOW,
+            const.ADOPTED_LATE_START_WINDOW,
+        )
         run.late_until = trio.current_time() + left
         run.starts_sent = 1
         if may_be_repeated(task) and not self._repeats.were_sent_once(
@@ -160,7 +163,7 @@
         """
         run.starts_sent += 1
         if life.born:
-            until = trio.current_time() + timeout + const.LATE_START_MOST
+            until = trio.current_time() + timeout + const.LATE_START_WINDOW
             run.late_until = max(run.late_until, until)
 
     def note_answered(self) -> None:
--- a/pimentocross/owner/ledger.py
+++ b/pimentocross/owner/ledger.py
@@ -126,7 +126,7 @@
             FencedError: Another owner has taken over.
         """
         while True:
-            with trio.move_on_after(const.BEAT_INTERVAL):
+            with trio.move_on_after(const.HEARTBEAT_INTERVAL):
                 await self._changed.wait()
                 await trio.sleep(const.BATCH_PAUSE)
             batch, self._open = self._open, Batch()
@@ -139,7 +139,7 @@
     async def _write(self, batch: Batch) -> None:
         records = [Record(i.key, i.encode()) for i in batch.items.values()]
         if not records:
-            records = [Record(const.BEAT_KEY, b"")]
+            records = [Record(const.HEARTBEAT_KEY, b"")]
         for part in _split(records):
             await self._append(part)
 
--- a/pimentocross/owner/listing_pace.py
+++ b/pimentocross/owner/listing_pace.py
@@ -49,7 +49,7 @@
             serving: Whether tasks serve there beside tasks that fill.
         """
         least = const.HOLD_WAIT_SERVING if serving else const.HOLD_WAIT
-        most = const.HOLD_WAIT_SERVING_MOST if serving else self._most
+        most = const.MAX_HOLD_WAIT_SERVING if serving else self._most
         fair = self._workers() * _WHOLE * self._cost / _SHARE
         # A late thread has less to spare than was measured.
         wait = max(least, fair) + self._lateness.recent_at(now)
--- a/pimentocross/owner/load_log.py
+++ b/pimentocross/owner/load_log.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from pimentocross.observe.decisions import note
-from pimentocross.owner.room import RoomKeeper
+from pimentocross.owner.capacity_reserve import CapacityReserve
 from pimentocross.owner.worker import Worker
 from pimentocross.placement.host import left_over
 from pimentocross.work.state import Step
@@ -29,7 +29,7 @@
         workers: Sequence[Worker],
         closed: int,
         steps: Iterable[Step],
-        room: RoomKeeper,
+        room: CapacityReserve,
         away: Iterable[Step],
         now: float,
     ) -> None:
@@ -64,6 +64,6 @@
             waiting_lasting=sum(c for step, c in waiting if step.spec.lasting),
             away=len(away_lasting),
             away_lasting=sum(away_lasting),
-            short=int(room.taken),
+            short=int(room.short_cpu),
             short_share=int(room.share),
         )
--- a/pimentocross/owner/orders.py
+++ b/pimentocross/owner/orders.py
@@ -1,4 +1,4 @@
-"""Sends starts and stops to workers, one task for each order."""
+"""Sends start, stop and pace orders to workers, one trio task per order."""
 
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
@@ -15,18 +15,19 @@
 from pimentocross.observe import meters
 from pimentocross.observe.decisions import note
 from pimentocross.owner import const
+from pimentocross.owner.context import OwnerContext
 from pimentocross.owner.ledger import Batch
-from pimentocross.owner.parts import CellParts
 from pimentocross.owner.worker import Worker
 from pimentocross.work.spec import TaskName
 from pimentocross.work.state import Run, RunState, Task
 
-# After a refusal the task waits this long, so that it isn't sent in a circle.
-_REFUSED_PAUSE = 0.3
+# Seconds for which a refused task isn't started again, so that it isn't sent to
+# the same workers in a tight loop.
+_REFUSED_START_PAUSE = 0.3
 
 
 class Placement(NamedTuple):
-    """A run that was decided on, and the ticket that lets it run, or ""."""
+    """A run placed on a worker, and the adviser's ticket for it, or ""."""
 
     task: Task
     run: Run
@@ -35,35 +36,41 @@
 
 
 class Orders:
-    """Starts, stops and paces runs.
+    """Sends the orders that start, stop and pace runs.
 
     Attributes:
-        started: Set once a run has begun.
+        started: Set once any worker has confirmed a start.
     """
 
     def __init__(
         self,
         nursery: trio.Nursery,
-        parts: CellParts,
+        context: OwnerContext,
         on_refused: Callable[[Worker, Task, StartVerdict], None],
     ) -> None:
-        """Takes the nursery of the owner's tasks and what parts share."""
+        """Initializes the sender of orders.
+
+        Args:
+            nursery: Runs the calls to workers.
+            context: What the components of the owner share.
+            on_refused: Called when a worker has refused a start.
+        """
         self._nursery = nursery
-        self._parts = parts
+        self._context = context
         self._on_refused = on_refused
         self.started = trio.Event()
         self._stopping: set[tuple[int, TaskName, int]] = set()
 
     def start(self, placements: Sequence[Placement], batch: Batch) -> None:
-        """Starts runs once their records are stored."""
+        """Starts runs once the records of these decisions are stored."""
         for task, run, worker, _ in placements:
-            self._parts.late_starts.note_decided(task, run, worker.life)
+            self._context.late_starts.note_decided(task, run, worker.life)
         self._nursery.start_soon(self._start_all, placements, batch)
 
     def stop(self, worker: Worker, task: Task, run: Run, reason: str) -> None:
-        """Stops a run, however often it has to be asked."""
+        """Stops a run; repeats the order until the worker confirms it."""
         if run.state is RunState.DECIDED:
-            self._drop(worker, task, run)
+            self._drop_run(worker, task, run)
             return
         if run.state is RunState.STOPPING and run.stopped_at:
             return
@@ -80,16 +87,16 @@
         self._begin_stop(worker, task.name, run.number, run)
 
     def stop_unknown(self, worker: Worker, name: TaskName, run: int) -> None:
-        """Stops a run of a task that isn't known."""
+        """Stops a run whose task is unknown to this owner."""
         self._begin_stop(worker, name, run, None)
 
     def start_again(self, worker: Worker, task: Task, run: Run) -> None:
-        """Repeats a start that wasn't answered, under the same number."""
+        """Repeats an unanswered start under the same run number."""
         placement = Placement(task, run, worker)
         self._nursery.start_soon(self._start_again, placement)
 
     def pace(self, worker: Worker, task: Task, run: Run, percent: int) -> None:
-        """Lets a run work at a share of its speed."""
+        """Limits a run to a percentage of its full speed."""
         self._nursery.start_soon(self._pace, worker, task, run, percent)
 
     async def _start_all(
@@ -102,23 +109,24 @@
     async def _start(self, placement: Placement) -> None:
         task, run, worker, _ = placement
         async with worker.calls:
-            # Its worker may have been given up meanwhile, and the run with it.
+            # The worker may have been declared dead meanwhile, which drops its
+            # runs.
             if task.runs.get(run.number) is not run:
                 return
             if run.state is not RunState.DECIDED:
                 return
-            # Another run of it may have ended well meanwhile.
+            # Another run of the task may have succeeded meanwhile.
             unneeded = task.done or task.step.job.ended
             if unneeded or not self._may_start(task, worker):
-                self._drop(worker, task, run)
+                self._drop_run(worker, task, run)
                 return
             reply = await self._send(placement)
         if reply is not None:
-            self._on_verdict(placement, reply)
+            self._on_reply(placement, reply)
 
     async def _start_again(self, placement: Placement) -> None:
         task, run, worker, _ = placement
-        await self._parts.late_starts.note_repeated(task, run).wait()
+        await self._context.late_starts.note_repeated(task, run).wait()
         async with worker.calls:
             if task.runs.get(run.number) is not run:
                 return
@@ -128,10 +136,10 @@
                 return
             reply = await self._send(placement)
         if reply is not None:
-            self._on_verdict(placement, reply)
+            self._on_reply(placement, reply)
 
     async def _send(self, placement: Placement) -> StartReply | None:
-        """Sends a start; returns the answer, None without one."""
+        """Sends a start; returns the worker's reply, or None without one."""
         task, run, worker, ticket = placement
         now = trio.current_time()
         deadline = worker.clock.after(const.START_VALIDITY, now)
@@ -141,21 +149,21 @@
             run.number,
             task.step.job.spec.payload,
             deadline,
-            self._parts.token_for(worker),
+            self._context.token_for(worker),
             task.checkpoint,
             ticket,
         )
         run.enter(RunState.SENT, now)
-        timeout = self._parts.patience.for_call()
-        late_starts = self._parts.late_starts
+        timeout = self._context.patience.for_call()
+        late_starts = self._context.late_starts
         late_starts.note_sent(run, worker.life, timeout)
         try:
             with worker.calling():
                 reply = await worker.link.start(order, timeout)
         except (WorkerUnreachableError, WorkerReplacedError) as error:
             worker.doubtful = True
-            worker.late_until = trio.current_time() + const.LATE_START_MOST
-            if not _may_come_late(error):
+            worker.late_until = trio.current_time() + const.LATE_START_WINDOW
+            if not _may_arrive_late(error):
                 run.note_start_settled()
             self._on_unanswered(task, run, str(error))
             return None
@@ -165,13 +173,13 @@
         return reply
 
     def _may_start(self, task: Task, worker: Worker) -> bool:
-        # What allowed it when it was decided may have changed since.
-        if not self._parts.may_start_on(worker) or not worker.clock.known:
+        # These conditions may have changed since the run was decided.
+        if not self._context.may_start_on(worker) or not worker.clock.known:
             return False
-        # Its capacity may have shrunk while the record was on its way.
+        # The worker's capacity may have shrunk while the record was stored.
         if not worker.carries(task.step.spec):
             return False
-        return self._parts.ledger.age() < const.RENEWALS_WITHOUT_STORE
+        return self._context.ledger.age() < const.RENEWALS_WITHOUT_STORE
 
     def _on_unanswered(self, task: Task, run: Run, reason: str) -> None:
         meters.add_unanswered("start")
@@ -179,7 +187,7 @@
         if run.state is RunState.SENT:
             run.enter(RunState.UNSURE, trio.current_time())
 
-    def _on_verdict(self, placement: Placement, reply: StartReply) -> None:
+    def _on_reply(self, placement: Placement, reply: StartReply) -> None:
         task, run, worker, _ = placement
         now = trio.current_time()
         if reply.clock is not None:
@@ -200,14 +208,14 @@
             verdict=reply.verdict.value,
         )
         if run.state is RunState.SENT:
-            task.not_before = now + _REFUSED_PAUSE
-            self._drop(worker, task, run)
+            task.not_before = now + _REFUSED_START_PAUSE
+            self._drop_run(worker, task, run)
         self._on_refused(worker, task, reply.verdict)
 
-    def _drop(self, worker: Worker, task: Task, run: Run) -> None:
-        self._parts.late_starts.drop(task, run.number, worker)
-        self._parts.book.changed(task.step.job)
-        self._parts.wake()
+    def _drop_run(self, worker: Worker, task: Task, run: Run) -> None:
+        self._context.late_starts.drop(task, run.number, worker)
+        self._context.book.changed(task.step.job)
+        self._context.wake()
 
     def _begin_stop(
         self, worker: Worker, name: TaskName, number: int, run: Run | None
@@ -221,7 +229,7 @@
     async def _stop(
         self, worker: Worker, name: TaskName, number: int, run: Run | None
     ) -> None:
-        token = self._parts.token_for(worker)
+        token = self._context.token_for(worker)
         try:
             while not worker.gone:
                 try:
@@ -231,7 +239,7 @@
                                 name,
                                 number,
                                 token,
-                                self._parts.patience.for_call(),
+                                self._context.patience.for_call(),
                             )
                     if run is not None and self._on_worker(worker, run):
                         run.stopped_at = trio.current_time()
@@ -260,8 +268,8 @@
                         task.name,
                         run.number,
                         percent,
-                        self._parts.token_for(worker),
-                        self._parts.patience.for_call(),
+                        self._context.token_for(worker),
+                        self._context.patience.for_call(),
                     )
         except (WorkerUnreachableError, WorkerReplacedError) as error:
             meters.add_unanswered("pace")
@@ -273,6 +281,6 @@
         )
 
 
-def _may_come_late(error: Exception) -> bool:
-    """True if an order that failed so may be carried out yet."""
+def _may_arrive_late(error: Exception) -> bool:
+    """Returns whether a failed order may still reach and run on the worker."""
     return isinstance(error, WorkerUnreachableError) and error.sent
--- a/pimentocross/owner/owner.py
+++ b/pimentocross/owner/owner.py
@@ -17,8 +17,8 @@
 from pimentocross.observe.lateness import LoopLateness
 from pimentocross.owner import const
 from pimentocross.owner.admission import Admission
-from pimentocross.owner.breather import Breather
 from pimentocross.owner.collector import survivors_left_out, uncollected
+from pimentocross.owner.context import OwnerContext
 from pimentocross.owner.crashes import Crashes
 from pimentocross.owner.desk import Desk, JobReply, Outcome
 from pimentocross.owner.dispatcher import Dispatcher
@@ -32,12 +32,12 @@
 from pimentocross.owner.listing_pace import ListingPace
 from pimentocross.owner.lived_runs import LivedRuns
 from pimentocross.owner.orders import Orders
-from pimentocross.owner.parts import CellParts
 from pimentocross.owner.patience import CallPatience
 from pimentocross.owner.repeats import Repeats
 from pimentocross.owner.roster import Roster, RosterParts
 from pimentocross.owner.take_over_log import TakeOverLog
 from pimentocross.owner.terms import OwnerTerms
+from pimentocross.owner.time_slice import TimeSlice
 from pimentocross.owner.worker_ends import WorkerEnds
 from pimentocross.work import records
 from pimentocross.work.queue import WorkConfig
@@ -220,14 +220,14 @@
 
     async def _work(self) -> None:
         """Does all that an owner does until the cell is given back."""
-        parts = self._make_parts()
+        context = self._make_context()
         async with trio.open_nursery() as nursery:
             self._late_starts.open(nursery.start_soon)
-            orders = Orders(nursery, parts, self._dispatcher.on_refused)
+            orders = Orders(nursery, context, self._dispatcher.on_refused)
             runs = await self._collect_runs()
             self._roster.open(
                 RosterParts(
-                    nursery, parts, orders, self._dispatcher.forget_life
+                    nursery, context, orders, self._dispatcher.forget_life
                 )
             )
             self._former_leases.relate()
@@ -246,7 +246,7 @@
             nursery.start_soon(self._settle)
             nursery.start_soon(self._roster.follow)
             nursery.start_soon(self._lived_runs.follow)
-            nursery.start_soon(self._sweep, parts.crashes)
+            nursery.start_soon(self._sweep, context.crashes)
             nursery.start_soon(self._log.follow_adoption, self._roster.workers)
             nursery.start_soon(self._log.note_start, orders.started)
             await self._release.wait()
@@ -255,9 +255,9 @@
             self._former_leases.record()
             nursery.cancel_scope.cancel()
 
-    def _make_parts(self) -> CellParts:
+    def _make_context(self) -> OwnerContext:
         terms = self._platform.terms
-        return CellParts(
+        return OwnerContext(
             self.epoch,
             terms,
             CallPatience(self.lateness, terms.lease),
@@ -265,7 +265,7 @@
             self._book,
             self._ledger,
             self._dispatcher.wake,
-            self._dispatcher.judge,
+            self._dispatcher.on_ending,
             self._learned.on_listed,
             Crashes(self._book, self._roster.workers, self._doubts, self._ends),
             self._roster.may_start_on,
@@ -314,9 +314,9 @@
 
     async def _settle(self) -> None:
         """Notes when all workers have listed what runs."""
-        with trio.move_on_after(const.SETTLE_MOST):
+        with trio.move_on_after(const.SETTLE_TIMEOUT):
             while not all(w.adopted for w in self._roster.workers()):
-                await trio.sleep(const.SETTLE_LOOK)
+                await trio.sleep(const.SETTLE_CHECK_INTERVAL)
         self._settled_at = trio.current_time()
         self.settled.set()
         self._log.note("owner_settled")
@@ -325,14 +325,14 @@
         page = await self._platform.store.newest(
             self._claim.topic, const.NEWEST_TIMEOUT
         )
-        breather = Breather()
+        time_slice = TimeSlice()
         jobs: dict[str, Job] = {}
         progress: dict[str, bytes] = {}
         histories: dict[str, bytes] = {}
         for record in page.records:
-            await breather.breathe()
+            await time_slice.yield_if_over()
             kind, name = record.key[:1], record.key[1:]
-            if record.value is None or record.key == const.BEAT_KEY:
+            if record.value is None or record.key == const.HEARTBEAT_KEY:
                 continue
             if kind == records.PROGRESS:
                 progress[name] = record.value
@@ -345,7 +345,7 @@
             except (RecordError, ValueError) as error:
                 note("record_unreadable", key=record.key, reason=str(error))
         for job in jobs.values():
-            await breather.breathe()
+            await time_slice.yield_if_over()
             _restore(job, progress.get(job.id), records.decode_progress)
             _restore(job, histories.get(job.id), records.decode_crashes)
             self._book.restore(job)
@@ -355,10 +355,10 @@
 
     async def _collect_runs(self) -> list[tuple[Task, Run]]:
         """Returns the runs that were recorded."""
-        breather = Breather()
+        time_slice = TimeSlice()
         runs = []
         for job in self._book.jobs():
-            await breather.breathe()
+            await time_slice.yield_if_over()
             for task in job.tasks():
                 runs += [(task, run) for run in task.runs.values()]
         return runs
--- a/pimentocross/owner/placer.py
+++ b/pimentocross/owner/placer.py
@@ -1,66 +1,67 @@
-"""Finds workers for the tasks of a step and commits their room."""
+"""Chooses workers for the tasks of a step and commits capacity on them."""
 
 from collections.abc import Mapping, Sequence
 from typing import Final
 
 from pimentocross.owner.advice import AdviceDesk
-from pimentocross.owner.arranger import Arranger
 from pimentocross.owner.isolation import Isolation
 from pimentocross.owner.learned import Learned
 from pimentocross.owner.orders import Placement
+from pimentocross.owner.rebalancer import Rebalancer
 from pimentocross.owner.worker import Worker
 from pimentocross.placement.field import Few, Field, Places
 from pimentocross.placement.host import allows
 from pimentocross.placement.hosts import common_rack
 from pimentocross.work.state import Run, Step, Task
 
-# Workers with room and a ticket from which on no more are asked for.
-_ADVISED_ENOUGH: Final = 4
+# With this many workers that have a ticket and enough free capacity, the
+# adviser isn't asked for more.
+_MAX_ADVISED_WORKERS: Final = 4
 
 
 class Placer:
-    """Places the tasks of one pass."""
+    """Places the tasks of one scheduling pass."""
 
     def __init__(
         self,
-        sound: Sequence[Worker],
+        healthy: Sequence[Worker],
         usable: Sequence[Worker],
         learned: Learned,
-        arranger: Arranger,
+        rebalancer: Rebalancer,
         advice: AdviceDesk,
         isolation: Isolation,
         now: float,
     ) -> None:
-        """Takes the workers and what choosing among them goes by.
+        """Initializes the placer with the state of one pass.
 
         Args:
-            sound: Workers that are in no trouble.
-            usable: All that may be taken for want of a better one.
-            learned: What was learned of workers.
-            arranger: Knows what their room is worth.
-            advice: Knows who may run some steps.
-            isolation: Finds where tasks are isolated.
-            now: Present time.
+            healthy: Workers that are neither unsound nor quarantined.
+            usable: All workers that may be used, healthy or not.
+            learned: Statistics about workers.
+            rebalancer: Holds the view by which workers are compared.
+            advice: Tickets for steps that only some workers may run.
+            isolation: Finds workers on which tasks can run isolated.
+            now: Present time, monotonic.
         """
-        self._sound = Field(sound, arranger.view)
-        self._usable = Field(usable, arranger.view)
+        self._healthy = Field(healthy, rebalancer.view)
+        self._usable = Field(usable, rebalancer.view)
         self._racks: Mapping[int, str] = {
-            worker.number: worker.life.rack for worker in sound
+            worker.number: worker.life.rack for worker in healthy
         }
         self._learned = learned
-        self._arranger = arranger
+        self._rebalancer = rebalancer
         self._advice = advice
         self._isolation = isolation
         # Isolated placements of the step that is being placed.
-        self._placed_alone: list[Placement] = []
+        self._isolated_placements: list[Placement] = []
         self._now = now
 
     def place(self, step: Step) -> list[Placement]:
-        """Places what waits of a step on sound workers, as far as it fits."""
-        return self._place_among(step, self._sound)
+        """Places as many waiting tasks of a step as fit on healthy workers."""
+        return self._place_among(step, self._healthy)
 
     def place_anywhere(self, step: Step) -> list[Placement]:
-        """Places what waits of a step on any worker, as far as it fits."""
+        """Places as many waiting tasks of a step as fit on usable workers."""
         placed = self._place_among(step, self._usable)
         self._usable.reopen()
         return placed
@@ -68,31 +69,33 @@
     def _place_among(self, step: Step, field: Field[Worker]) -> list[Placement]:
         places: Places[Worker] = field
         if step.job.queue.asks_adviser:
-            places = Few(self._advised(step, field.hosts), self._arranger.view)
+            places = Few(
+                self._advised(step, field.hosts), self._rebalancer.view
+            )
         if step.spec.gang:
             placed = self._place_gang(step, places)
         else:
             placed = self._place_each(step, places)
-        self._begin_isolation()
+        self._start_isolation()
         return placed
 
     def _place_each(
         self, step: Step, places: Places[Worker]
     ) -> list[Placement]:
-        """Places what waits of a step one by one, as far as it fits."""
+        """Places waiting tasks of a step one by one until none fits."""
         rack = ""
         if step.spec.same_rack:
             rack = common_rack(step.tasks, self._racks)
         placed = []
-        none_quiet = False
+        no_isolated_place = False
         for task in step.waiting():
             isolated = task.crash_history.needs_isolation
-            if task.not_before > self._now or (isolated and none_quiet):
+            if task.not_before > self._now or (isolated and no_isolated_place):
                 continue
-            where = _destination(task, places, self._now)
-            placement = self._place(task, task.last_run + 1, where, rack)
+            candidates = _candidates_for(task, places, self._now)
+            placement = self._place(task, task.last_run + 1, candidates, rack)
             if placement is None:
-                none_quiet = none_quiet or isolated
+                no_isolated_place = no_isolated_place or isolated
                 if task.bound_for is not None or isolated:
                     continue
                 break
@@ -101,21 +104,21 @@
         return placed
 
     def _advised(self, step: Step, workers: list[Worker]) -> list[Worker]:
-        """Returns the workers that may run a step; asks if there are few."""
+        """Returns the workers with a ticket; asks for more if too few fit."""
         tickets = self._advice.tickets(step)
         found = [w for w in workers if w.life.id in tickets]
-        room = sum(allows(w, step) for w in found)
-        enough = min(step.waiting_count, _ADVISED_ENOUGH)
-        if room < enough and not self._advice.is_asked(step):
-            able = [w for w in workers if allows(w, step)]
-            able.sort(key=lambda w: -w.free.cpu)
-            self._advice.want(step, [w.life.id for w in able])
+        fitting = sum(allows(w, step) for w in found)
+        wanted = min(step.waiting_count, _MAX_ADVISED_WORKERS)
+        if fitting < wanted and not self._advice.is_asked(step):
+            eligible = [w for w in workers if allows(w, step)]
+            eligible.sort(key=lambda w: -w.free.cpu)
+            self._advice.want(step, [w.life.id for w in eligible])
         return found
 
     def _place_gang(
         self, step: Step, places: Places[Worker]
     ) -> list[Placement]:
-        """Places all members under one run number, or none."""
+        """Places all members of a gang under one run number, or none."""
         tasks = list(step.waiting())
         if len(tasks) < step.spec.width:
             return []
@@ -127,10 +130,10 @@
         for task in tasks:
             placement = self._place(task, number, places, rack)
             if placement is None:
-                for taken in placed:
-                    taken.worker.remove(taken.task, number)
-                    taken.task.drop_run(number)
-                    self._note_changed(taken.worker)
+                for earlier in placed:
+                    earlier.worker.remove(earlier.task, number)
+                    earlier.task.drop_run(number)
+                    self._note_changed(earlier.worker)
                 return []
             rack = rack or placement.worker.life.rack
             placed.append(placement)
@@ -151,7 +154,7 @@
             return None
         if task.step.spec.fills:
             image = task.step.spec.image
-            self._arranger.note_filler(image, worker, self._now)
+            self._rebalancer.note_filler(image, worker, self._now)
         run = Run(number, worker.number, self._now)
         task.bound_for = None
         task.add_run(run)
@@ -167,40 +170,43 @@
     def _place_isolated(
         self, task: Task, number: int, places: Places[Worker], rack: str
     ) -> Placement | None:
-        """Places a task in isolation, or without if that takes too long."""
+        """Places a task in isolation, or without it after a time limit."""
         found = self._isolation.find(task, places.hosts)
         if found:
-            places = Few(found, self._arranger.view)
+            places = Few(found, self._rebalancer.view)
         elif not self._isolation.is_due(task, self._now):
             return None
         placement = self._place_on(task, number, places, rack)
         if placement is not None:
             self._isolation.note_placed(task)
             if found:
-                self._placed_alone.append(placement)
+                self._isolated_placements.append(placement)
         return placement
 
-    def _begin_isolation(self) -> None:
+    def _start_isolation(self) -> None:
         """Keeps other steps off the workers of isolated tasks.
 
-        Tasks of one step may share such a worker: their job is given up by
-        whichever of them crashes it.
+        Tasks of one step may share such a worker: whichever of them crashes
+        it, the same job fails.
         """
-        for task, run, worker, _ in self._placed_alone:
+        for task, run, worker, _ in self._isolated_placements:
             if run.number in task.runs:
                 worker.isolate(task, run)
                 self._note_changed(worker)
-        self._placed_alone = []
+        self._isolated_placements = []
 
     def _note_changed(self, worker: Worker) -> None:
-        self._sound.note_changed(worker)
+        self._healthy.note_changed(worker)
         self._usable.note_changed(worker)
 
 
-def _destination(
+def _candidates_for(
     task: Task, places: Places[Worker], now: float
 ) -> Places[Worker]:
-    """Returns the worker that a task is moved to, for a while, or all."""
+    """Returns only the worker reserved for a moving task, else all workers.
+
+    The reservation of a worker for a moving task expires.
+    """
     if task.bound_for is None:
         return places
     if now >= task.bound_for.until:
--- a/pimentocross/owner/arranger.py
+++ b/pimentocross/owner/rebalancer.py
@@ -1,4 +1,8 @@
-"""Moves serving tasks so that workers are open for what fills."""
+"""Moves serving tasks so that more workers can take filler tasks.
+
+A filler is a task (`fills`) that uses capacity which the serving tasks of its
+worker leave over. It is not placed beside images that it would disturb.
+"""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -16,32 +20,34 @@
 from pimentocross.placement.soundness import may_take_away
 from pimentocross.work.state import Destination, Run, Step, Task
 
-# Readings come every half second: more often nothing new is known.
-_INTERVAL: Final = 0.5
-# Share of what serves that may be on its way at once, so that what callers are
-# owed falls by no more while the layout changes.
-_MOVING_MOST: Final = 0.05
-# A task that has just come is not moved again: its figures say nothing yet.
-_SETTLED_AFTER: Final = 2.0
-# A moved task waits this long for its place: a stop takes 0.4 s at most, and
-# both tasks of an exchange are stopped at once.
-_PLACE_WAIT: Final = 1.2
+# Seconds. New readings arrive every half second.
+_PASS_INTERVAL: Final = 0.5
+# Share of the serving capacity that may be moving at once. It bounds the loss
+# of capacity for callers while the layout changes.
+_MAX_MOVING_SHARE: Final = 0.05
+# Seconds after its start in which a task isn't moved: it has no meaningful
+# readings yet.
+_SETTLE_TIME: Final = 2.0
+# Seconds for which capacity stays reserved for a moved task: a stop takes at
+# most 0.4 s, and both tasks of an exchange are stopped at once.
+_MOVE_TIMEOUT: Final = 1.2
 
 
-class Arranger:
-    """Chooses serving tasks to move, and has them moved.
+class Rebalancer:
+    """Chooses serving tasks to move and orders their moves.
 
     Attributes:
-        view: What placing goes by, as of the last pass.
+        view: The view by which workers are compared, as of the last pass.
     """
 
     def __init__(self, learned: Learned) -> None:
-        """Takes what was learned of images."""
+        """Initializes the rebalancer with the statistics about images."""
         self.view = plain_view(learned.disturbance)
         self._disturbance = learned.disturbance
         self._demand = Demand()
-        self._moving: list[_Moving] = []
-        # When a doubtful pair of each filling image was last tried again.
+        self._moving: list[_MoveInProgress] = []
+        # Monotonic time at which a doubtful pair of each filler image was last
+        # tried again.
         self._retried_at: dict[str, float] = {}
         self._passed_at = float("-inf")
 
@@ -52,18 +58,18 @@
         orders: Orders,
         now: float,
     ) -> None:
-        """Looks at what fills and waits to, and moves what shuts it out.
+        """Moves serving tasks that keep waiting fillers off workers.
 
         Args:
-            waiting: Steps that wait and are worth a place.
-            workers: Those in use.
-            orders: Has tasks stopped.
-            now: Present time.
+            waiting: Waiting steps that can still meet their objective.
+            workers: The healthy workers.
+            orders: Sends the stop orders.
+            now: Present time, monotonic.
         """
-        if now - self._passed_at < _INTERVAL:
+        if now - self._passed_at < _PASS_INTERVAL:
             return
         self._passed_at = now
-        demand = self._demand.note(_asked_for(waiting, workers), now)
+        demand = self._demand.note(_filler_demand(waiting, workers), now)
         compatibility = Compatibility(demand, self._disturbance)
         scarcity = scarcities(demand, workers, compatibility)
         outlook = Outlook(scarcity.shares, compatibility, scarcity.worst)
@@ -71,7 +77,7 @@
         self._move(workers, outlook, orders, now)
 
     def renew_probes(self, workers: Sequence[Worker], now: float) -> None:
-        """Looks anew at which pairs of images are being tried."""
+        """Recomputes which doubtful pairs of images are being tried."""
         self._retried_at = {
             image: at
             for image, at in self._retried_at.items()
@@ -81,7 +87,7 @@
         self.view = self.view._replace(probes=probes)
 
     def note_filler(self, image: str, worker: Worker, now: float) -> None:
-        """Notes a task that is about to fill on a worker."""
+        """Notes that a filler of an image is about to start on a worker."""
         if self.view.probes.note(image, worker):
             self._retried_at[image] = now
             note("pair_retried", image=image, worker=worker.life.id)
@@ -93,19 +99,21 @@
         orders: Orders,
         now: float,
     ) -> None:
-        """Has the best move made, and more as long as they may be."""
+        """Starts the best moves as far as the share in progress allows."""
         if outlook.is_plain:
             return
         self._moving = [m for m in self._moving if now < m.until]
         serving = sum(sum(worker.serving.values()) for worker in workers)
-        most = int(_MOVING_MOST * serving) - sum(m.cpu for m in self._moving)
-        if most <= 0 and self._moving:
+        budget = int(_MAX_MOVING_SHARE * serving) - sum(
+            m.cpu for m in self._moving
+        )
+        if budget <= 0 and self._moving:
             return
         seats = _movable(workers, now)
         mover = Mover(workers, outlook)
-        while most > 0 or not self._moving:
+        while budget > 0 or not self._moving:
             busy = {n for m in self._moving for n in m.workers}
-            # Each step is looked at once, not for each of its tasks.
+            # Each step is checked once instead of once per task.
             steps = {seat.task.step for seat in seats}
             may_leave = {step for step in steps if may_take_away(step)}
             seats = [
@@ -113,31 +121,38 @@
                 for seat in seats
                 if seat.host.number not in busy and seat.task.step in may_leave
             ]
-            # In a small cell one exchange is more than that share.
-            bound = most if self._moving else serving
+            # One move is always allowed: in a small cell even a single exchange
+            # exceeds the share.
+            bound = budget if self._moving else serving
             move = mover.best(seats, bound, busy)
             if move is None:
                 return
-            until = now + _PLACE_WAIT
+            until = now + _MOVE_TIMEOUT
             self._moving.append(
-                _Moving(until, move.cpu, (move.source, move.to))
+                _MoveInProgress(until, move.cpu, (move.source, move.to))
             )
-            most -= move.cpu
-            _carry_out(move, workers, orders, now)
+            budget -= move.cpu
+            _start_move(move, workers, orders, now)
+
 
+class _MoveInProgress(NamedTuple):
+    """A move in progress.
 
-class _Moving(NamedTuple):
-    """What is on its way: until when, monotonic, and between which workers."""
+    Attributes:
+        until: Monotonic time at which its reservations expire.
+        cpu: The capacity that is moving.
+        workers: Numbers of the two workers.
+    """
 
     until: float
     cpu: int
     workers: tuple[int, int]
 
 
-def _asked_for(
+def _filler_demand(
     waiting: Iterable[Step], workers: Iterable[Worker]
 ) -> Counter[str]:
-    """Returns what tasks ask for that fill or wait to, by image."""
+    """Returns the CPU demand of running and waiting fillers, by image."""
     wanted: Counter[str] = Counter()
     for step in waiting:
         if step.spec.fills:
@@ -148,27 +163,27 @@
 
 
 def _movable(workers: Iterable[Worker], now: float) -> list[Seat]:
-    """Returns the serving tasks that do as well on any other worker."""
+    """Returns the serving tasks that are not tied to a worker or rack."""
     return [
         seat_of(task, worker)
         for worker in workers
-        for task in worker.settled(now, _SETTLED_AFTER)
-        if task.step.spec.target_tail and not _is_bound(task)
+        for task in worker.settled(now, _SETTLE_TIME)
+        if task.step.spec.target_tail and not _is_pinned(task)
     ]
 
 
-def _is_bound(task: Task) -> bool:
+def _is_pinned(task: Task) -> bool:
     spec = task.step.spec
     return bool(spec.same_rack or spec.rack or spec.label)
 
 
-def _carry_out(
+def _start_move(
     move: Move, workers: Sequence[Worker], orders: Orders, now: float
 ) -> None:
     by_number = {worker.number: worker for worker in workers}
-    _send_to(move.leaves, by_number[move.source], move.to, orders, now)
+    _move_task(move.leaves, by_number[move.source], move.to, orders, now)
     if move.comes is not None:
-        _send_to(move.comes, by_number[move.to], move.source, orders, now)
+        _move_task(move.comes, by_number[move.to], move.source, orders, now)
     note(
         "serving_moved",
         task=move.leaves.name,
@@ -179,10 +194,10 @@
     )
 
 
-def _send_to(
+def _move_task(
     task: Task, worker: Worker, to: int, orders: Orders, now: float
 ) -> None:
-    task.bound_for = Destination(to, now + _PLACE_WAIT)
+    task.bound_for = Destination(to, now + _MOVE_TIMEOUT)
     reason = "makes room for what fills"
     orders.stop(worker, task, _run_of(task, worker), reason)
 
--- a/pimentocross/owner/reclaimer.py
+++ b/pimentocross/owner/reclaimer.py
@@ -1,10 +1,12 @@
-"""Has lasting tasks give way while short work has room nowhere.
+"""Evicts lasting tasks while short tasks fit on no worker.
 
-Load pattern: tasks that last want more room than there is, after workers were
-lost or simply as more and more of them come. Each piece of room that a short
-task leaves would be taken by one that lasts and kept for good, until short work
-has none. Up to a share of the processors short work therefore comes first; what
-gave way to it is away for a while only, and others give way in turn.
+Lasting tasks run until they are stopped; short tasks are urgent and end soon.
+
+Load pattern: lasting tasks ask for more capacity than there is, because workers
+were lost or more and more such tasks are submitted. Each piece of capacity that
+a short task frees would be taken by a lasting one for good, until short tasks
+have none. Short tasks therefore have priority up to a share of the processors.
+An evicted task stays away only for a while, and then others are evicted.
 """
 
 from collections.abc import Sequence
@@ -12,117 +14,127 @@
 from weakref import WeakKeyDictionary
 
 from pimentocross.observe.decisions import note
+from pimentocross.owner.capacity_reserve import CapacityReserve
 from pimentocross.owner.orders import Orders
-from pimentocross.owner.room import RoomKeeper
 from pimentocross.owner.worker import Worker
 from pimentocross.placement.moves import Seat, seat_of
 from pimentocross.placement.reclaim import choose_evictions, tasks_most
 from pimentocross.placement.soundness import may_take_away
 from pimentocross.work.state import Step, Task
 
-# Short work waits this long before anything gives way: most waits are for a
-# run that is about to end.
-_PATIENCE: Final = 0.2
-# A stop takes 0.4 s at most, and its end is listed at once: before that it
-# isn't known whether the room is enough.
-_INTERVAL: Final = 0.6
-# A step gives one task for each so many that it has.
-_WIDTH_A_TASK: Final = 8
-# What has just come stays: a task that is moved about does no work.
-_SETTLED_AFTER: Final = 3.0
-# A task that gave way isn't started again within this: the short work for
-# which it went has to come first.
-_AWAY_LEAST: Final = 1.0
-# After this it comes first again, though short work still waits: users count a
-# task that lasts as lost if it is away for 6 s while there is room for it.
-_AWAY_MOST: Final = 2.5
+# Seconds that a short task waits before anything is evicted for it: most waits
+# end sooner, with a run that is about to end.
+_EVICTION_DELAY: Final = 0.2
+# Seconds between evictions. A stop takes at most 0.4 s and its end is listed at
+# once; only then is it known whether the freed capacity suffices.
+_EVICTION_INTERVAL: Final = 0.6
+# A step may have one task away per this many of its tasks.
+_WIDTH_PER_EVICTION: Final = 8
+# Seconds after its start in which a task isn't evicted: a task that is moved
+# too often does no work.
+_SETTLE_TIME: Final = 3.0
+# Seconds before an evicted task may start again, so that the short task for
+# which it was evicted starts first.
+_MIN_AWAY: Final = 1.0
+# Seconds after which an evicted task has priority again, even while short tasks
+# wait: users count a lasting task as lost if it is away for 6 s while there is
+# capacity for it.
+_MAX_AWAY: Final = 2.5
 
 
 class Reclaimer:
-    """Chooses what gives way, and keeps it away for a while."""
+    """Chooses lasting tasks to evict and delays their restart."""
 
     def __init__(self) -> None:
-        """Has taken nothing yet."""
-        self._missed_since: WeakKeyDictionary[Step, float] = WeakKeyDictionary()
-        self._gave_way_at: WeakKeyDictionary[Step, float] = WeakKeyDictionary()
-        # Tasks that gave way, and the number of the run that was stopped.
+        """Initializes the reclaimer without evicted tasks."""
+        self._unplaced_since: WeakKeyDictionary[Step, float] = (
+            WeakKeyDictionary()
+        )
+        self._evicted_at: WeakKeyDictionary[Step, float] = WeakKeyDictionary()
+        # Evicted tasks, with the number of the run that was stopped.
         self._stopped_runs: WeakKeyDictionary[Task, int] = WeakKeyDictionary()
-        # Whether short work waits that has less than its share.
-        self._short_lacks = False
-        # The last run of each task that waits, and since when, monotonic.
+        # Whether short tasks wait and have less than their share of the CPU.
+        self._short_below_share = False
+        # The last run of each waiting task, and since when it waits, monotonic.
         self._away_since: WeakKeyDictionary[Task, tuple[int, float]] = (
             WeakKeyDictionary()
         )
         self._passed_at = float("-inf")
 
     def has_to_wait(self, step: Step, now: float) -> bool:
-        """True for a step of which a task gave way a moment ago."""
-        return step in self._gave_way_at and not self._is_due(step, now)
+        """Returns whether a task of a step was evicted a short time ago."""
+        return step in self._evicted_at and not self._is_restart_due(step, now)
 
     def comes_after_short(self, step: Step, now: float) -> bool:
-        """True for lasting steps while short work has less than its share.
+        """Returns whether a lasting step ranks behind short steps.
 
-        Else they would take the room that was made, and all that short tasks
-        leave. What is being moved has its place already, and what gave way long
-        ago comes first.
+        It does while short tasks have less than their share; otherwise lasting
+        tasks would take the capacity freed by evictions and all that short
+        tasks free. Exceptions are tasks that are being moved, as capacity is
+        reserved for them, and tasks whose eviction was long ago.
         """
-        if not step.spec.lasting or not self._short_lacks:
+        if not step.spec.lasting or not self._short_below_share:
             return False
         if any(task.bound_for is not None for task in step.waiting()):
             return False
-        return step not in self._gave_way_at or not self._is_due(step, now)
+        return step not in self._evicted_at or not self._is_restart_due(
+            step, now
+        )
 
-    def may_give(self, step: Step) -> bool:
-        """True if a step keeps nearly all of its worth without one task more.
+    def may_evict_from(self, step: Step) -> bool:
+        """Returns whether one more task of a step may be evicted.
 
-        If narrow steps gave more, some might never be whole.
+        At most one task in `_WIDTH_PER_EVICTION`, and at least one, is away at
+        a time: with more, some narrow steps might never run all their tasks.
         """
-        most = max(1, step.spec.width // _WIDTH_A_TASK)
-        return step.waiting_count < most and may_take_away(step)
+        max_cpu = max(1, step.spec.width // _WIDTH_PER_EVICTION)
+        return step.waiting_count < max_cpu and may_take_away(step)
 
-    def _is_due(self, step: Step, now: float) -> bool:
-        """True once a task of a lasting step has been away for long."""
+    def _is_restart_due(self, step: Step, now: float) -> bool:
+        """Returns whether a task of a step has waited for `_MAX_AWAY`."""
         due = False
         for task in step.waiting():
             run, since = self._away_since.get(task, (-1, now))
             if run != task.last_run:
                 since = now
             self._away_since[task] = (task.last_run, since)
-            due = due or now - since >= _AWAY_MOST
+            due = due or now - since >= _MAX_AWAY
         return due
 
     def pass_over(
         self,
-        missed: Sequence[Step],
+        unplaced: Sequence[Step],
         workers: Sequence[Worker],
         orders: Orders,
-        room: RoomKeeper,
+        room: CapacityReserve,
         now: float,
     ) -> None:
-        """Makes room for short steps.
+        """Evicts lasting tasks so that short steps can be placed.
 
         Args:
-            missed: Those that can still be in time and found no room, the most
-                urgent first.
-            workers: Those in use.
-            orders: Has tasks stopped.
-            room: Knows what short work has and may have.
-            now: Present time.
+            unplaced: Short steps that could not be placed and can still meet
+                their objective, the most urgent first.
+            workers: The healthy workers.
+            orders: Sends the stop orders.
+            room: Holds the CPU that short tasks have and may have.
+            now: Present time, monotonic.
         """
-        self._short_lacks = bool(missed) and room.taken < room.share
-        for step in list(self._gave_way_at):
-            whole = not step.waiting_count and now - self._gave_way_at[step] > 1
-            if not missed or whole:
-                del self._gave_way_at[step]
-        for step in list(self._missed_since):
-            if step not in missed:
-                del self._missed_since[step]
+        self._short_below_share = bool(unplaced) and room.short_cpu < room.share
+        for step in list(self._evicted_at):
+            complete = (
+                not step.waiting_count and now - self._evicted_at[step] > 1
+            )
+            if not unplaced or complete:
+                del self._evicted_at[step]
+        for step in list(self._unplaced_since):
+            if step not in unplaced:
+                del self._unplaced_since[step]
         waiting: list[Task] = []
-        for step in missed:
-            since = self._missed_since.setdefault(step, now)
-            if now - since >= _PATIENCE:
+        for step in unplaced:
+            since = self._unplaced_since.setdefault(step, now)
+            if now - since >= _EVICTION_DELAY:
                 waiting.extend(t for t in step.waiting() if t.not_before <= now)
-        if waiting and now - self._passed_at >= _INTERVAL:
+        if waiting and now - self._passed_at >= _EVICTION_INTERVAL:
             self._passed_at = now
             self._evict(waiting, workers, orders, room.share, now)
 
@@ -137,43 +149,43 @@
         settled = [
             (task, worker)
             for worker in workers
-            for task in worker.settled(now, _SETTLED_AFTER)
+            for task in worker.settled(now, _SETTLE_TIME)
         ]
-        # Each step is looked at once, not for each of its tasks.
-        may_give = {
+        # Each step is checked once instead of once per task.
+        may_evict_from = {
             step
             for step in {task.step for task, _ in settled}
-            if self.may_give(step)
+            if self.may_evict_from(step)
         }
         seats = [
             seat_of(task, worker)
             for task, worker in settled
-            if task.step in may_give
+            if task.step in may_evict_from
         ]
-        most = share - self._away()
+        max_cpu = share - self._away_cpu()
         wanted = waiting[: tasks_most(len(workers))]
-        for seat in choose_evictions(wanted, seats, most):
-            self._give_way(seat, workers, orders, now)
+        for seat in choose_evictions(wanted, seats, max_cpu):
+            self._evict_task(seat, workers, orders, now)
 
-    def _away(self) -> int:
-        """Returns what the tasks reserve that gave way and aren't back."""
-        back = [
+    def _away_cpu(self) -> int:
+        """Returns the CPU size of the evicted tasks that haven't restarted."""
+        returned = [
             task
             for task, run in self._stopped_runs.items()
             if task.done or task.step.job.ended or task.last_run != run
         ]
-        for task in back:
+        for task in returned:
             del self._stopped_runs[task]
         return sum(task.step.spec.size.cpu for task in self._stopped_runs)
 
-    def _give_way(
+    def _evict_task(
         self, seat: Seat, workers: Sequence[Worker], orders: Orders, now: float
     ) -> None:
         task = seat.task
         worker = next(w for w in workers if w is seat.host)
         run = next(r for t, r in worker.running() if t is task)
-        self._gave_way_at[task.step] = now
+        self._evicted_at[task.step] = now
         self._stopped_runs[task] = run.number
-        task.not_before = now + _AWAY_LEAST
+        task.not_before = now + _MIN_AWAY
         note("gives_way", task=task.name, worker=worker.life.id)
         orders.stop(worker, task, run, "gives way to short work")
--- a/pimentocross/owner/roster.py
+++ b/pimentocross/owner/roster.py
@@ -16,11 +16,11 @@
 from pimentocross.observe.decisions import note
 from pimentocross.owner import const
 from pimentocross.owner.absent import AbsentWorkers
+from pimentocross.owner.context import OwnerContext, RunStopper
 from pimentocross.owner.former_leases import FormerLeases
 from pimentocross.owner.keeper import Keeper
 from pimentocross.owner.ledger import Ledger
 from pimentocross.owner.life_numbers import LifeNumbers
-from pimentocross.owner.parts import CellParts, Stops
 from pimentocross.owner.worker import Worker
 from pimentocross.work.queue import WorkConfig
 from pimentocross.work.records import LeaseRow
@@ -38,8 +38,8 @@
     """
 
     nursery: trio.Nursery
-    cell: CellParts
-    stops: Stops
+    cell: OwnerContext
+    stops: RunStopper
     forget_life: Callable[[str], None]
 
 
@@ -144,7 +144,7 @@
         return self._is_current() or self._is_guarded(worker)
 
     def _is_current(self) -> bool:
-        return trio.current_time() - self._read_at <= const.ROSTER_TRUSTED
+        return trio.current_time() - self._read_at <= const.ROSTER_MAX_AGE
 
     def _is_guarded(self, worker: Worker) -> bool:
         """True if a worker refuses what doesn't fit any more."""
--- a/pimentocross/owner/care.py
+++ b/pimentocross/owner/run_control.py
@@ -1,4 +1,8 @@
-"""Cares for what runs: stops what should not, paces what disturbs."""
+"""Controls running tasks: stops unwanted runs and paces fillers.
+
+A filler is a task (`fills`) that uses capacity which the serving tasks of its
+worker leave over. It is slowed down or moved if it disturbs them.
+"""
 
 from typing import Final, NamedTuple
 from weakref import WeakKeyDictionary
@@ -22,44 +26,47 @@
 from pimentocross.placement.stalls import is_stalled
 from pimentocross.work.state import Run, RunState, Task
 
-# A filler that was slowed to a crawl for this long goes elsewhere: about what
-# its stop and its start cost, of which no more than 0.4 s are the stop.
-_STUCK_AFTER: Final = 0.8
-# A run that has done less than this, in percent, loses little by a move.
-_LITTLE_DONE: Final = 25
-# What a stop and a new start cost a task, in seconds.
+# Seconds at a very low pace after which a filler is moved: about the cost of
+# its stop and its new start, of which the stop takes at most 0.4 s.
+_STUCK_TIMEOUT: Final = 0.8
+# A run whose progress is below this percentage loses little by a move.
+_CHEAP_MOVE_PERCENT: Final = 25
+# Seconds that a stop and a new start cost a task.
 _MOVE_COST: Final = 0.8
 
 
-class _Look(NamedTuple):
-    """When a worker was looked at, monotonic, and its version then."""
+class _Check(NamedTuple):
+    """Monotonic time of the last check of a worker, and its version then."""
 
     at: float
     version: int
 
 
-class Care:
-    """Passes over the runs of all workers.
+class RunController:
+    """Checks the runs of all workers in each scheduling pass.
 
-    Each listing of a worker asks for a pass: all runs of 246 workers cost 12 ms
-    of each. A worker is looked at again once something on it has changed, else
-    as often as a cell passes in which nothing does; what time alone brings
-    about, and what other workers teach of pairs, waits that long.
+    Each listing of a worker requests a pass, and checking all runs of 246
+    workers cost 12 ms per pass. A worker is therefore checked again only if it
+    has changed, or after the interval at which an idle cell makes passes.
+    Effects of time alone, and what other workers show about pairs of images,
+    are noticed after that interval.
     """
 
     def __init__(self, roster: Roster, learned: Learned) -> None:
-        """Takes the workers and what was learned."""
+        """Initializes the controller with the workers and the statistics."""
         self._roster = roster
         self._learned = learned
-        self._looks: WeakKeyDictionary[Worker, _Look] = WeakKeyDictionary()
+        self._last_checks: WeakKeyDictionary[Worker, _Check] = (
+            WeakKeyDictionary()
+        )
 
     def pass_over(self, orders: Orders) -> None:
-        """Has runs stopped and paced as they should be now."""
+        """Orders the stops and pace changes that are due now."""
         now = trio.current_time()
         workers = list(self._roster.workers())
         due = [worker for worker in workers if self._is_due(worker, now)]
         for worker in due:
-            self._looks[worker] = _Look(now, worker.version)
+            self._last_checks[worker] = _Check(now, worker.version)
         for worker in workers:
             self._stop_unneeded(worker, orders)
         for worker in due:
@@ -68,12 +75,12 @@
             self._pace_fillers(worker, orders, now)
 
     def _is_due(self, worker: Worker, now: float) -> bool:
-        """True if something may have to be changed on a worker."""
-        look = self._looks.get(worker)
+        """Returns whether the runs of a worker have to be checked."""
+        check = self._last_checks.get(worker)
         return (
-            look is None
-            or look.version != worker.version
-            or now - look.at >= const.PASS_INTERVAL
+            check is None
+            or check.version != worker.version
+            or now - check.at >= const.PASS_INTERVAL
             or worker.life.draining
             or worker.unsound_until > now
         )
@@ -100,12 +107,14 @@
     def _why_stop(
         self, worker: Worker, task: Task, run: Run, now: float
     ) -> str:
-        if worker.life.draining and self._should_leave(worker, task, run, now):
+        if worker.life.draining and self._should_leave_draining(
+            worker, task, run, now
+        ):
             return "the worker leaves"
         if (
             worker.unsound_until > now
             and not run.may_come_late(now)
-            and self._is_better_off(worker, task, run)
+            and self._should_move(worker, task, run)
         ):
             task.failed_on.add(worker.number)
             return "the worker is unsound"
@@ -115,8 +124,8 @@
             return "no progress"
         return ""
 
-    def _is_better_off(self, worker: Worker, task: Task, run: Run) -> bool:
-        """True if a run on an unsound worker should go elsewhere."""
+    def _should_move(self, worker: Worker, task: Task, run: Run) -> bool:
+        """Returns whether a run on an unsound worker should be moved."""
         spec = task.step.spec
         if spec.lasting:
             return run.percent >= AT_WORK and may_take_away(task.step)
@@ -124,11 +133,11 @@
             if measured.run is run:
                 progress = measured.progress
                 kept = progress.percent / 100 if spec.saves else 0.0
-                again = progress.expected * (1 - kept) + _MOVE_COST
-                return progress.left > again
+                restart_cost = progress.expected * (1 - kept) + _MOVE_COST
+                return progress.left > restart_cost
         return False
 
-    def _should_leave(
+    def _should_leave_draining(
         self, worker: Worker, task: Task, run: Run, now: float
     ) -> bool:
         if task.step.spec.lasting:
@@ -140,14 +149,16 @@
         return left > worker.drain_left(now)
 
     def _pace_fillers(self, worker: Worker, orders: Orders, now: float) -> None:
-        settled = now - worker.paced_at >= SETTLE
-        if worker.filled and (settled or worker.over_for(now) >= OVER_MOST):
-            self._pace_on(worker, orders, now)
+        is_settled = now - worker.paced_at >= SETTLE
+        if worker.filled and (is_settled or worker.over_for(now) >= OVER_MOST):
+            self._pace_fillers_on(worker, orders, now)
 
     def _must_leave(self, worker: Worker, task: Task, run: Run) -> bool:
-        """True if what serves has come to where a filler surely disturbs it.
+        """Returns whether a filler certainly disturbs a serving task here.
 
-        Its figures would show that only after half a second and more.
+        This applies when a serving task was placed beside the filler. Its
+        latency readings would show the disturbance only after half a second or
+        more.
         """
         spec = task.step.spec
         share = spec.size.cpu / max(worker.life.capacity.cpu, 1)
@@ -161,23 +172,25 @@
             ),
             default=0.0,
         )
-        little_lost = spec.saves or run.percent < _LITTLE_DONE
-        return harm > HARM_MOST and little_lost
+        cheap_to_move = spec.saves or run.percent < _CHEAP_MOVE_PERCENT
+        return harm > HARM_MOST and cheap_to_move
 
     def _is_misplaced(self, worker: Worker, task: Task, run: Run) -> bool:
-        """True if a filler surely disturbs, and loses little by a move."""
+        """Returns whether a filler disturbs others and is cheap to move."""
         spec = task.step.spec
-        if not spec.saves and run.percent >= _LITTLE_DONE:
+        if not spec.saves and run.percent >= _CHEAP_MOVE_PERCENT:
             return False
         if run.pace <= MOVE_BELOW:
-            # It was slowed before, and that has not become better.
+            # Slowing it down before has not improved the situation.
             return True
         return any(
             self._learned.disturbance.is_bad(image, spec.image)
             for image in worker.serving
         )
 
-    def _pace_on(self, worker: Worker, orders: Orders, now: float) -> None:
+    def _pace_fillers_on(
+        self, worker: Worker, orders: Orders, now: float
+    ) -> None:
         capacity = max(worker.life.capacity.cpu, 1)
         runs = [
             (task, run)
@@ -200,7 +213,7 @@
             worker.readings(now), fillers, self._learned.disturbance
         )
         for (task, run), pace in zip(runs, paces, strict=True):
-            stuck = pace <= MOVE_BELOW and now - run.paced_at > _STUCK_AFTER
+            stuck = pace <= MOVE_BELOW and now - run.paced_at > _STUCK_TIMEOUT
             if pace == run.pace and not (stuck and run.paced_at):
                 continue
             worker.paced_at = run.paced_at = now
--- a/pimentocross/owner/terms.py
+++ b/pimentocross/owner/terms.py
@@ -16,9 +16,9 @@
     """
 
     lease: float = const.LEASE
-    ended_kept: float = const.ENDED_KEPT
+    ended_kept: float = const.ENDED_JOB_RETENTION
     granted_most: float = const.LEASE
-    descriptors: int = const.DESCRIPTORS
+    descriptors: int = const.DEFAULT_DESCRIPTORS
 
     @property
     def lease_most(self) -> float:
@@ -40,15 +40,17 @@
         Args:
             workers: How many there are.
         """
-        connections = self.descriptors * const.WORKERS_SHARE / max(workers, 1)
+        connections = (
+            self.descriptors * const.WORKER_DESCRIPTOR_SHARE / max(workers, 1)
+        )
         most = int(connections) - const.LISTING_CONNECTIONS
-        return min(max(most, 1), const.ORDERS_AT_ONCE)
+        return min(max(most, 1), const.MAX_CONCURRENT_ORDERS)
 
 
 def make_terms(
     lease_most: float,
     ended_least: float,
-    descriptors: int = const.DESCRIPTORS,
+    descriptors: int = const.DEFAULT_DESCRIPTORS,
 ) -> OwnerTerms:
     """Returns the terms within a deployment's bounds.
 
@@ -59,7 +61,10 @@
     """
     return OwnerTerms(
         min(const.LEASE, lease_most),
-        max(const.ENDED_KEPT, ended_least + const.ENDED_SLACK),
+        max(
+            const.ENDED_JOB_RETENTION,
+            ended_least + const.ENDED_JOB_RETENTION_SLACK,
+        ),
         lease_most,
         descriptors,
     )
--- a/pimentocross/owner/worker.py
+++ b/pimentocross/owner/worker.py
@@ -88,7 +88,7 @@
         life: WorkerLife,
         number: int,
         link: WorkerLink,
-        orders_at_once: int = const.ORDERS_AT_ONCE,
+        orders_at_once: int = const.MAX_CONCURRENT_ORDERS,
     ) -> None:
         """Makes a worker that was not heard yet."""
         self.life = life
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -13,7 +13,7 @@
 
 from pimentocross.contracts.worker_link import Ending, EndKind
 from pimentocross.owner import wall
-from pimentocross.owner.arranger import Arranger
+from pimentocross.owner.capacity_reserve import CapacityReserve
 from pimentocross.owner.copier import Copier
 from pimentocross.owner.endings import apply_ending
 from pimentocross.owner.jobs import JobBook
@@ -21,7 +21,7 @@
 from pimentocross.owner.ledger import Ledger
 from pimentocross.owner.orders import Placement
 from pimentocross.owner.owner import Owner
-from pimentocross.owner.room import RoomKeeper
+from pimentocross.owner.rebalancer import Rebalancer
 from pimentocross.placement.copies import (
     CopyHistory,
     CopyRoom,
@@ -100,7 +100,7 @@
                 self.learned.durations.note_task(former, took, took)
         self.workers = [make_worker(life(n), n) for n in range(4)]
         self.copier = Copier(
-            self.book, self.learned, Arranger(self.learned), RoomKeeper()
+            self.book, self.learned, Rebalancer(self.learned), CapacityReserve()
         )
 
     def begin(self, job_id: str, step: StepSpec) -> None:
--- a/tests/test_counted_anew.py
+++ b/tests/test_counted_anew.py
@@ -225,7 +225,7 @@
     async with running(make_owner(store, hall, 1)) as owner:
         await trio.sleep(0.5)
         worker.faults.late = 1.0
-        last = mock.Mock(return_value=const.LATE_START_MOST - 0.1)
+        last = mock.Mock(return_value=const.LATE_START_WINDOW - 0.1)
         with mock.patch.object(worker.faults.random, "uniform", last):
             await owner.desk.submit("watch", QUEUE, _LASTING)
             await trio.sleep(0.2)
@@ -241,7 +241,7 @@
     clock = mock.Mock(side_effect=lambda: trio.current_time() + ahead)
     with mock.patch.object(wall, "now", clock):
         async with running(make_owner(store, hall, 2, vm="b")):
-            await trio.sleep_until(sent_at + const.LATE_START_MOST)
+            await trio.sleep_until(sent_at + const.LATE_START_WINDOW)
             hall.cut["b"].clear()
             hall.unlisted.clear()
             await trio.sleep(5.0)
--- a/tests/test_field.py
+++ b/tests/test_field.py
@@ -15,8 +15,8 @@
 import trio
 
 from pimentocross.owner import placer, wall
-from pimentocross.owner.arranger import Arranger
 from pimentocross.owner.isolation import Isolation
+from pimentocross.owner.rebalancer import Rebalancer
 from pimentocross.owner.worker import Worker
 from pimentocross.placement import hosts
 from pimentocross.placement.disturbance import Disturbance, Pair
@@ -210,7 +210,7 @@
         worker, learned = cell.workers[0], cell.learned
         for job in ("a", "b"):
             learned.quarantine.note_failed(worker.life.id, job, 0.0)
-        view = Arranger(learned)
+        view = Rebalancer(learned)
         advice = cell.dispatcher.advice
         lasting = StepSpec(2, Size(500, 500, 0), lasting=True)
         steps = [make_step(f"j{number}", lasting) for number in range(3)]
--- a/tests/test_former_leases.py
+++ b/tests/test_former_leases.py
@@ -97,7 +97,7 @@
         hall.unlisted.add(worker.life.id)
         await trio.sleep(1.5)
     async with running(make_owner(store, hall, 3)):
-        longest = const.LATE_START_MOST + _BETWEEN_OWNERS + _SOON
+        longest = const.LATE_START_WINDOW + _BETWEEN_OWNERS + _SOON
         until = sent_at + longest - trio.current_time()
         await wait_until(lambda: count(hall.journal, "start") == 1, until)
     assert not find_twice(hall.journal)
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -81,8 +81,8 @@
     async with running(make_owner(StoreStandin(), hall, 1)) as owner:
         sent_at = await _submit_late(owner, hall)
         await wait_until(lambda: _is_done(owner, "job"))
-        assert trio.current_time() - sent_at > const.LATE_START_MOST
-        longest = const.LATE_START_MOST + const.LEASE + _SOON
+        assert trio.current_time() - sent_at > const.LATE_START_WINDOW
+        longest = const.LATE_START_WINDOW + const.LEASE + _SOON
         assert trio.current_time() - sent_at < longest
     assert count(hall.journal, "start") == 1
     _check(hall)
@@ -110,7 +110,7 @@
             lambda: count(hall.journal, "start") == 1,
             const.CALL_TIMEOUT + _SOON,
         )
-        await trio.sleep(const.LATE_START_MOST)
+        await trio.sleep(const.LATE_START_WINDOW)
         assert count(hall.journal, "start") == 1
         assert owner.desk.state("last").state is JobState.RUNNING
     _check(hall)
@@ -129,7 +129,7 @@
         sent_at = trio.current_time()
         await wait_until(lambda: _is_done(owner, "job"))
         assert trio.current_time() - sent_at < const.LEASE + _SOON
-        await trio.sleep(const.LATE_START_MOST)
+        await trio.sleep(const.LATE_START_WINDOW)
     _check(hall)
 
 
@@ -149,7 +149,7 @@
         await wait_until(lambda: count(hall.journal, "start") == 2)
         again = [e for e in hall.journal if e.what == "start"][1]
         # On the next life, or elsewhere once it can't begin there.
-        late = again.at - sent_at > const.LATE_START_MOST
+        late = again.at - sent_at > const.LATE_START_WINDOW
         assert again.worker == first.worker or late
     _check(hall)
 
@@ -171,9 +171,9 @@
     async with running(make_owner(store, hall, 4)) as owner:
         await wait_until(lambda: _is_done(owner, "job"))
         took = trio.current_time() - sent_at
-    assert took > const.LATE_START_MOST
+    assert took > const.LATE_START_WINDOW
     slack = _BETWEEN_OWNERS + const.LEASE + _SOON
-    assert took < const.LATE_START_MOST + slack, took
+    assert took < const.LATE_START_WINDOW + slack, took
     assert count(hall.journal, "start") == 1
     _check(hall)
 
@@ -230,5 +230,5 @@
             if _is_done(owner, "job"):
                 break
     slack = _BETWEEN_OWNERS + const.LEASE + _SOON
-    assert trio.current_time() - sent_at < const.LATE_START_MOST + slack
+    assert trio.current_time() - sent_at < const.LATE_START_WINDOW + slack
     _check(hall)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -10,8 +10,8 @@
 from pimentocross.contracts.store import Record
 from pimentocross.contracts.worker_link import WorkerLife
 from pimentocross.owner import wall
-from pimentocross.owner.arranger import Arranger
 from pimentocross.owner.learned import Learned
+from pimentocross.owner.rebalancer import Rebalancer
 from pimentocross.placement.demand import Demand
 from pimentocross.placement.disturbance import Disturbance, Pair
 from pimentocross.placement.host import left_to_fill
@@ -328,7 +328,7 @@
 
 def test_without_exchanges_the_same_fillers_are_shut_out() -> None:
     hall = make_hall(1, _plan)
-    with mock.patch.object(Arranger, "pass_over", lambda *_: None):
+    with mock.patch.object(Rebalancer, "pass_over", lambda *_: None):
         run_virtual(lambda: _play(hall))
     assert _done(hall.journal) == 0
 
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -102,7 +102,7 @@
         await owner.desk.submit("j1", QUEUE, chain(4, 1))
         await wait_until(lambda: count(hall.journal, "start") == 4)
         store.faults.away = True
-        await trio.sleep(const.BEAT_INTERVAL + const.AWAY_AFTER + 0.2)
+        await trio.sleep(const.HEARTBEAT_INTERVAL + const.AWAY_AFTER + 0.2)
         asked_at = trio.current_time()
         reply = await owner.desk.submit("j2", QUEUE, chain(1, 1))
         assert reply.outcome is Outcome.STORE_AWAY
@@ -170,7 +170,7 @@
         await owner.desk.submit("j1", QUEUE, chain(1, 1))
         await wait_until(lambda: count(hall.journal, "start") == 1)
         store.faults.away = True
-        await trio.sleep(const.BEAT_INTERVAL + const.AWAY_AFTER + 0.2)
+        await trio.sleep(const.HEARTBEAT_INTERVAL + const.AWAY_AFTER + 0.2)
         again = await owner.desk.submit("j1", QUEUE, chain(1, 1))
         assert again.outcome is Outcome.OK
 
@@ -179,7 +179,7 @@
     store, hall = StoreStandin(), make_hall()
     async with running(make_owner(store, hall, 1)) as owner:
         store.faults.refused.add("a")
-        await trio.sleep(const.CURRENT_WITHIN + const.BEAT_INTERVAL + 0.1)
+        await trio.sleep(const.MAX_ACK_AGE + const.HEARTBEAT_INTERVAL + 0.1)
         assert owner.desk.state("unknown").outcome is Outcome.STORE_AWAY
         assert owner.desk.pending("plans") is None
 
@@ -225,7 +225,7 @@
 def test_leases_and_memory_keep_to_what_the_deployment_asks() -> None:
     assert make_terms(3.0, 400.0) == OwnerTerms(3.0, 430.0, 3.0)
     usual = make_terms(10.0, 120.0)
-    assert usual == OwnerTerms(const.LEASE, const.ENDED_KEPT, 10.0)
+    assert usual == OwnerTerms(const.LEASE, const.ENDED_JOB_RETENTION, 10.0)
     assert usual.loud_for > const.RENEWALS_WITHOUT_STORE + const.LEASE
 
 
@@ -234,10 +234,10 @@
     small = make_terms(6.0, 120.0, 4_100)
     for workers in (48, 176, 350, 750, 1_500, 2_000):
         most = small.orders_at_once(workers)
-        assert 1 <= most <= const.ORDERS_AT_ONCE
+        assert 1 <= most <= const.MAX_CONCURRENT_ORDERS
         connections = workers * (most + const.LISTING_CONNECTIONS)
         assert connections < small.descriptors, workers
-    assert small.orders_at_once(350) == const.ORDERS_AT_ONCE
+    assert small.orders_at_once(350) == const.MAX_CONCURRENT_ORDERS
     assert make_terms(6.0, 120.0, 8_192).orders_at_once(1_500) == 2
 
 
--- a/tests/test_pass_cost.py
+++ b/tests/test_pass_cost.py
@@ -13,7 +13,7 @@
 
 import trio
 
-from pimentocross.owner import care, const
+from pimentocross.owner import const, run_control
 from pimentocross.owner.jobs import JobBook
 from pimentocross.owner.worker import Worker
 from pimentocross.placement import field, hosts
@@ -124,13 +124,15 @@
         filling = make_step(f"fill{worker.number}", spec)
         put_to_work(worker, filling, figure=1_000)
     passes = 0
-    with mock.patch.object(care, "next_paces", wraps=next_paces) as paces:
+    with mock.patch.object(
+        run_control, "next_paces", wraps=next_paces
+    ) as paces:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(cell.run)
             while trio.current_time() < _PACED_FOR:
                 cell.dispatcher.wake()
                 passes += 1
-                await trio.sleep(const.PASS_PAUSE)
+                await trio.sleep(const.MIN_PASS_PAUSE)
             nursery.cancel_scope.cancel()
     # As often as a cell in which nothing happens passes over its workers.
     most = 50 * (_PACED_FOR / const.PASS_INTERVAL + 1)
--- a/tests/test_reclaim.py
+++ b/tests/test_reclaim.py
@@ -325,7 +325,7 @@
         (wide, 3, False),
     ):
         step.waiting_count = away
-        assert reclaimer.may_give(step) is may, (step.spec.width, away)
+        assert reclaimer.may_evict_from(step) is may, (step.spec.width, away)
 
 
 class _CountedHost(_Host):
--- a/tests/test_starts_held.py
+++ b/tests/test_starts_held.py
@@ -6,9 +6,9 @@
 import trio
 
 from pimentocross.owner import const, wall
-from pimentocross.owner.care import Care
 from pimentocross.owner.learned import Learned
 from pimentocross.owner.orders import Orders
+from pimentocross.owner.run_control import RunController
 from pimentocross.owner.worker import Worker
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import LASTS, TaskPlan
@@ -86,7 +86,7 @@
     kept = KeptOrders()
     orders = cast(Orders, kept)
     roster = mock.Mock(workers=mock.Mock(return_value=[worker]))
-    care = Care(roster, Learned())
+    care = RunController(roster, Learned())
     await trio.sleep_until(late_until - 0.1)
     care.pass_over(orders)
     assert not kept.stopped
@@ -100,7 +100,7 @@
     worker = make_worker(life(0), 0)
     put_to_work(worker, make_step("watch", StepSpec(1, _LASTING, lasting=True)))
     (run,) = worker.runs.values()
-    run.late_until = trio.current_time() + const.LATE_START_MOST
+    run.late_until = trio.current_time() + const.LATE_START_WINDOW
     return worker, run.late_until
 
 
