--- a/pimentocross/owner/const.py
+++ b/pimentocross/owner/const.py
@@ -2,8 +2,8 @@
 
 from typing import Final
 
-# Changes within this time go into one append. It saves write budget of the store
-# and delays the start of a task by half of it on average.
+# Changes within this time go into one append. It saves write budget of the
+# store and delays the start of a task by half of it on average.
 BATCH_PAUSE: Final = 0.015
 # An idle owner writes a heartbeat record this often, so that a peer that
 # suspects it sees that it is alive.
@@ -18,9 +18,9 @@
 # It also does after this many consecutive appends that failed at once. The
 # outcome of a job that is accepted meanwhile is unknown to its caller.
 AWAY_FAILURES: Final = 3
-# While the store is unavailable, a caller whose job record is being written gets
-# the answer "unsure" after this. Answered at once, callers would use up their
-# attempts before the store is back; answered later, their timeout has passed.
+# While the store is unavailable, a caller whose job record is being written
+# gets the answer "unsure" after this. Answered at once, callers would use up
+# their attempts before the store is back; later, their timeout has passed.
 UNSURE_AFTER: Final = 1.3
 # Interval at which a waiting call checks whether the store is unavailable.
 AWAY_CHECK_INTERVAL: Final = 0.1
@@ -34,12 +34,12 @@
 # owner's.
 CLOCK_DRIFT: Final = 0.02
 LAPSE_MARGIN: Final = 0.3
-# An owner renews leases for this long without an acknowledged append. It exceeds
-# the longest announced outage of the store (9 s).
+# An owner renews leases for this long without an acknowledged append. It is
+# longer than the longest announced outage of the store (9 s).
 RENEWALS_WITHOUT_STORE: Final = 12.0
 
-# Maximum time that a worker may hold a listing call open, which also renews its
-# leases.
+# Usual time that a worker may hold a listing call open. Each such call also
+# renews the worker's leases.
 HOLD_WAIT: Final = 1.0
 # The same for workers on which serving tasks run beside fillers, as their
 # readings are needed more often ...
@@ -53,7 +53,7 @@
 LATE_START_WINDOW: Final = 12.0
 # The next life of the worker's id may carry it out as well: that life refuses
 # late starts only after an order with a token of its own. A silent worker is
-# therefore called at this short interval, up to this long after it fell silent.
+# therefore called at a short interval, up to this long after it fell silent.
 HOLD_RETRY_QUICK: Final = 0.05
 HOLD_RETRY_QUICK_FOR: Final = 2.0
 # Endings wait at most this long for their record; then the lease is renewed
@@ -71,8 +71,9 @@
 CALL_TIMEOUT: Final = 0.8
 # A worker refuses a start that reaches it later than this after it was sent.
 START_VALIDITY: Final = 1.5
-# A start that a former owner may have sent is carried out within this time after
-# the take-over: the last call may have begun just before the take-over.
+# A start that a former owner may have sent is carried out within this time
+# after the take-over. No call was begun after the take-over, but one that was
+# begun just before lasts up to CALL_TIMEOUT.
 ADOPTED_LATE_START_WINDOW: Final = LATE_START_WINDOW + CALL_TIMEOUT
 STOP_RETRY_PAUSE: Final = 0.3
 # Page size of listed endings: a full page may be incomplete.
--- a/pimentocross/owner/context.py
+++ b/pimentocross/owner/context.py
@@ -16,8 +16,8 @@
 from pimentocross.work.spec import TaskName
 from pimentocross.work.state import Run, Task
 
-# Number of fencing tokens of one epoch. Each successive life of a worker id gets
-# a token of its own.
+# Number of fencing tokens of one epoch. Each successive life of a worker id
+# gets a token of its own.
 _TOKENS_PER_EPOCH: Final = 1 << 16
 
 
@@ -54,7 +54,7 @@
 
     Attributes:
         epoch: Epoch of the owner.
-        terms: Limits that the platform sets, such as the length of a lease.
+        terms: Durations and limits that depend on the deployment.
         patience: Timeouts of calls to workers.
         pace: Intervals at which workers are asked to list their runs.
         book: The jobs.
--- a/pimentocross/owner/copier.py
+++ b/pimentocross/owner/copier.py
@@ -65,7 +65,7 @@
         book: JobBook,
         learned: Learned,
         rebalancer: Rebalancer,
-        room: CapacityReserve,
+        reserve: CapacityReserve,
     ) -> None:
         """Initializes the copier.
 
@@ -73,12 +73,12 @@
             book: The jobs.
             learned: Statistics about tasks and workers.
             rebalancer: Holds the view by which workers are chosen.
-            room: Computes how much capacity has to stay free.
+            reserve: Computes how much capacity has to stay free.
         """
         self._book = book
         self._learned = learned
         self._rebalancer = rebalancer
-        self._room = room
+        self._reserve = reserve
         self._history = CopyHistory()
         self._pairs: dict[Task, _Pair] = {}
         self._passed_at = float("-inf")
@@ -103,18 +103,18 @@
         if not stragglers:
             return []
         healthy = find_healthy(now)
-        room = self._free_room(healthy, now)
+        copy_room = self._copy_room(healthy, now)
         placed = []
         for found in stragglers:
             cpu_requested = found.task.step.spec.size.cpu
-            if not room.admits(cpu_requested) or not self._admits(
+            if not copy_room.admits(cpu_requested) or not self._admits(
                 found.task.step, now
             ):
                 continue
             placement = self._place(found, healthy, now)
             if placement is not None:
                 placed.append(placement)
-                room = room.after(cpu_requested)
+                copy_room = copy_room.after(cpu_requested)
         return placed
 
     def note_ended(self, task: Task, run: Run | None, ending: Ending) -> None:
@@ -196,9 +196,9 @@
     def _fresh_run_seconds(self, step: Step) -> float:
         return self._learned.durations.by_tasks(step)
 
-    def _free_room(self, healthy: Sequence[Worker], now: float) -> CopyRoom:
+    def _copy_room(self, healthy: Sequence[Worker], now: float) -> CopyRoom:
         waiting = self._book.open_steps(wall.now())
-        spare = self._room.spare(healthy, waiting, now) - sum(
+        spare = self._reserve.spare(healthy, waiting, now) - sum(
             step.waiting_count * step.spec.committed.cpu for step in waiting
         )
         capacity = sum(worker.life.capacity.cpu for worker in healthy)
--- a/pimentocross/owner/dispatcher.py
+++ b/pimentocross/owner/dispatcher.py
@@ -102,9 +102,9 @@
         self._care = RunController(roster, learned)
         self._rebalancer = Rebalancer(learned)
         self._reclaimer = Reclaimer()
-        self._room = CapacityReserve()
+        self._reserve = CapacityReserve()
         self._copies = switches.is_on(Part.COPIES)
-        self._copier = Copier(book, learned, self._rebalancer, self._room)
+        self._copier = Copier(book, learned, self._rebalancer, self._reserve)
         self._load_log = LoadLog()
         self._isolation = Isolation()
         self._share = PassShare()
@@ -181,7 +181,7 @@
             return
         usable = self._roster.usable()
         healthy = self._healthy_workers(usable, now)
-        spare = self._room.spare(healthy, steps, now)
+        spare = self._reserve.spare(healthy, steps, now)
         ranked = self._ranked(steps, healthy, now, wall_time)
         feasible = (
             step for rank, _, step in ranked if rank.chance < Chance.HOPELESS
@@ -204,7 +204,7 @@
             kind = _placement_class_of(step)
             if not self._round.should_try(step, kind, kind.max_misses):
                 continue
-            if spare <= 0 and self._room.is_held_back(step, now):
+            if spare <= 0 and self._reserve.is_held_back(step, now):
                 continue
             if self._reclaimer.has_to_wait(step, now):
                 continue
@@ -214,11 +214,11 @@
                 self._round.interrupted = True
                 break
             placed = placer.place(step)
-            if not placed and self._room.needs_any_worker(step, now):
+            if not placed and self._reserve.needs_any_worker(step, now):
                 placed = placer.place_anywhere(step)
             placements.extend(placed)
             if not step.waiting_count:
-                self._room.forget(step)
+                self._reserve.forget(step)
             spare -= sum(p.task.step.spec.committed.cpu for p in placed)
             self._round.note(step, kind, found_room=bool(placed))
             if (
@@ -236,7 +236,7 @@
         self._send_starts(placements, orders)
         if not self._round.interrupted:
             self._reclaimer.pass_over(
-                unplaced, healthy, orders, self._room, now
+                unplaced, healthy, orders, self._reserve, now
             )
 
     def _start_copies(self, orders: Orders) -> None:
@@ -256,7 +256,7 @@
     ) -> list[_RankedStep]:
         """Returns the steps in the order in which they are tried."""
         ranks = [(self._rank(step, now, wall_time), step) for step in steps]
-        self.backlog.look(ranks, workers, self._room.share, now)
+        self.backlog.look(ranks, workers, self._reserve.share, now)
         return sorted(
             _RankedStep(self.backlog.order(rank, step), number, step)
             for number, (rank, step) in enumerate(ranks)
@@ -287,7 +287,7 @@
                 self._roster.usable(),
                 self._roster.closed_capacity(),
                 steps,
-                self._room,
+                self._reserve,
                 (task.step for task, _ in self._roster.runs_away()),
                 now,
             )
--- a/pimentocross/owner/placer.py
+++ b/pimentocross/owner/placer.py
@@ -203,9 +203,9 @@
 def _candidates_for(
     task: Task, places: Places[Worker], now: float
 ) -> Places[Worker]:
-    """Returns only the worker reserved for a moving task, else all workers.
+    """Returns the destination of a task that is being moved, else all workers.
 
-    The reservation of a worker for a moving task expires.
+    The destination is dropped once it has expired.
     """
     if task.bound_for is None:
         return places
--- a/pimentocross/owner/rebalancer.py
+++ b/pimentocross/owner/rebalancer.py
@@ -28,8 +28,8 @@
 # Seconds after its start in which a task isn't moved: it has no meaningful
 # readings yet.
 _SETTLE_TIME: Final = 2.0
-# Seconds for which capacity stays reserved for a moved task: a stop takes at
-# most 0.4 s, and both tasks of an exchange are stopped at once.
+# Seconds for which a moved task waits for its destination worker: a stop takes
+# at most 0.4 s, and both tasks of an exchange are stopped at once.
 _MOVE_TIMEOUT: Final = 1.2
 
 
@@ -139,7 +139,7 @@
     """A move in progress.
 
     Attributes:
-        until: Monotonic time at which its reservations expire.
+        until: Monotonic time until which it counts as in progress.
         cpu: The capacity that is moving.
         workers: Numbers of the two workers.
     """
@@ -163,7 +163,7 @@
 
 
 def _movable(workers: Iterable[Worker], now: float) -> list[Seat]:
-    """Returns the serving tasks that are not tied to a worker or rack."""
+    """Returns the serving tasks that run equally well on any worker."""
     return [
         seat_of(task, worker)
         for worker in workers
--- a/pimentocross/owner/reclaimer.py
+++ b/pimentocross/owner/reclaimer.py
@@ -70,8 +70,8 @@
 
         It does while short tasks have less than their share; otherwise lasting
         tasks would take the capacity freed by evictions and all that short
-        tasks free. Exceptions are tasks that are being moved, as capacity is
-        reserved for them, and tasks whose eviction was long ago.
+        tasks free. Exceptions are tasks that are being moved, as they have a
+        destination already, and tasks that have been away for long.
         """
         if not step.spec.lasting or not self._short_below_share:
             return False
@@ -106,7 +106,7 @@
         unplaced: Sequence[Step],
         workers: Sequence[Worker],
         orders: Orders,
-        room: CapacityReserve,
+        reserve: CapacityReserve,
         now: float,
     ) -> None:
         """Evicts lasting tasks so that short steps can be placed.
@@ -116,10 +116,12 @@
                 their objective, the most urgent first.
             workers: The healthy workers.
             orders: Sends the stop orders.
-            room: Holds the CPU that short tasks have and may have.
+            reserve: Holds the CPU that short tasks have and may have.
             now: Present time, monotonic.
         """
-        self._short_below_share = bool(unplaced) and room.short_cpu < room.share
+        self._short_below_share = (
+            bool(unplaced) and reserve.short_cpu < reserve.share
+        )
         for step in list(self._evicted_at):
             complete = (
                 not step.waiting_count and now - self._evicted_at[step] > 1
@@ -136,7 +138,7 @@
                 waiting.extend(t for t in step.waiting() if t.not_before <= now)
         if waiting and now - self._passed_at >= _EVICTION_INTERVAL:
             self._passed_at = now
-            self._evict(waiting, workers, orders, room.share, now)
+            self._evict(waiting, workers, orders, reserve.share, now)
 
     def _evict(
         self,
