--- a/tests/test_changing_capacity.py
+++ b/tests/test_changing_capacity.py
@@ -1,4 +1,4 @@
-"""Workers whose capacity shrinks and grows while they run."""
+"""Starts don't exceed the capacity of workers that shrink and grow."""
 
 from collections import Counter
 from collections.abc import AsyncIterator
@@ -37,28 +37,28 @@
     wait_until,
 )
 
-# An owner in touch knows of a change within this, in seconds: the bound that
-# deployments set, and one report of a worker.
-_KNOWN_WITHIN = 4.5
+# Seconds within which a connected owner knows of a change of capacity: the
+# bound set by deployments plus one report interval of a worker.
+_MAX_CAPACITY_AGE = 4.5
 _UNGUARDED = CONFIG._replace(
     services={"stock": ServicePool("stock", False, 64, False)}
 )
 
 
-class _Change(NamedTuple):
+class _CapacityChange(NamedTuple):
     at: float
     capacity: Size
 
 
 class _Cell:
-    """Workers that don't guard their capacity, and what it was when."""
+    """Workers that don't enforce their capacity, and its changes over time."""
 
     def __init__(self, workers: int) -> None:
         self.hall = WorkerHall()
-        self.changes: dict[str, list[_Change]] = {}
+        self.changes: dict[str, list[_CapacityChange]] = {}
         for number in range(workers):
             listed = life(number)
-            self.changes[listed.id] = [_Change(0.0, ROOM)]
+            self.changes[listed.id] = [_CapacityChange(0.0, ROOM)]
             self.hall.add(
                 TaskWorkerStandin(
                     listed, _plan, self.hall.journal, guarded=False
@@ -66,14 +66,14 @@
             )
 
     def change(self, worker: TaskWorkerStandin, share: float) -> None:
-        """Has a worker carry a share of what it did at first."""
+        """Sets a worker's capacity to a share of its initial capacity."""
         room = Size(*(int(part * share) for part in ROOM))
         worker.life = worker.life._replace(capacity=room)
-        change = _Change(trio.current_time(), room)
+        change = _CapacityChange(trio.current_time(), room)
         self.changes[worker.life.id].append(change)
 
     def find_overloads(self) -> list[RunEvent]:
-        """Returns starts beyond what a worker had carried of late."""
+        """Returns starts beyond the recent maximum of a worker's capacity."""
         committed: Counter[str] = Counter()
         found = []
         for event in sorted(
@@ -81,16 +81,16 @@
         ):
             if event.what == "start":
                 committed[event.worker] += SMALL.cpu
-                most = self._most(event.worker, event.at)
+                most = self._max_recent_capacity(event.worker, event.at)
                 if committed[event.worker] > most:
                     found.append(event)
             elif not event.what.startswith("noted"):
                 committed[event.worker] -= SMALL.cpu
         return found
 
-    def _most(self, worker: str, at: float) -> int:
+    def _max_recent_capacity(self, worker: str, at: float) -> int:
         before = [c for c in self.changes[worker] if c.at <= at]
-        recent = [c for c in before if c.at > at - _KNOWN_WITHIN]
+        recent = [c for c in before if c.at > at - _MAX_CAPACITY_AGE]
         former = before[-len(recent) - 1 :][:1]
         return max(c.capacity.cpu for c in former + recent)
 
@@ -107,15 +107,15 @@
         yield owner
 
 
-async def _vary(cell: _Cell, draw: random.Random) -> None:
+async def _vary_capacities(cell: _Cell, rng: random.Random) -> None:
     while True:
-        await trio.sleep(draw.uniform(0.2, 1.0))
-        worker = draw.choice(list(cell.hall.workers.values()))
-        cell.change(worker, draw.choice([0.25, 0.5, 0.75, 1.0]))
+        await trio.sleep(rng.uniform(0.2, 1.0))
+        worker = rng.choice(list(cell.hall.workers.values()))
+        cell.change(worker, rng.choice([0.25, 0.5, 0.75, 1.0]))
 
 
-async def _play(seed: int) -> None:
-    draw = random.Random(seed)
+async def _run_history(seed: int) -> None:
+    rng = random.Random(seed)
     cell = _Cell(6)
     jobs = [f"job{number}" for number in range(120)]
     async with _owned(cell, StoreStandin(seed)) as owner:
@@ -123,10 +123,10 @@
             "last", QUEUE, spec(StepSpec(12, SMALL, lasting=True))
         )
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_vary, cell, draw)
+            nursery.start_soon(_vary_capacities, cell, rng)
             for job in jobs:
                 await owner.desk.submit(job, QUEUE, chain(3, 2))
-                await trio.sleep(draw.uniform(0.0, 0.4))
+                await trio.sleep(rng.uniform(0.0, 0.4))
             nursery.cancel_scope.cancel()
         for worker in cell.hall.workers.values():
             cell.change(worker, 1.0)
@@ -136,13 +136,13 @@
                 for job in jobs
             )
         )
-        await wait_until(lambda: _lasting_now(cell.hall) == 12)
+        await wait_until(lambda: _count_running_lasting(cell.hall) == 12)
     assert not cell.find_overloads(), (seed, cell.find_overloads()[:3])
     assert not find_twice(cell.hall.journal)
     assert not find_again(cell.hall.journal)
 
 
-def _lasting_now(hall: WorkerHall) -> int:
+def _count_running_lasting(hall: WorkerHall) -> int:
     ends: Counter[str] = Counter()
     for event in hall.journal:
         if event.task.job == "last" and not event.what.startswith("noted"):
@@ -152,12 +152,12 @@
 
 def test_no_start_overloads_a_worker_whose_capacity_changes() -> None:
     for seed in range(5):
-        run_virtual(lambda s=seed: _play(s), seed)  # type: ignore[misc]
+        run_virtual(lambda s=seed: _run_history(s), seed)  # type: ignore[misc]
 
 
 async def test_starts_that_waited_for_the_store_overload_no_worker() -> None:
-    # The second step is decided on while the store is away, on room that has
-    # gone once its record is stored.
+    # The second step is placed while the store is unavailable, on capacity that
+    # is gone once the record of the decision is stored.
     store, cell = StoreStandin(), _Cell(1)
     worker = next(iter(cell.hall.workers.values()))
     async with _owned(cell, store) as owner:
@@ -181,7 +181,7 @@
         cell.hall.directory_away = True
         await trio.sleep(1)
         cell.change(worker, 0.25)
-        await trio.sleep(_KNOWN_WITHIN)
+        await trio.sleep(_MAX_CAPACITY_AGE)
         await owner.desk.submit("job", QUEUE, chain(8, 1))
         await trio.sleep(3)
         assert not cell.find_overloads()
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -1,7 +1,8 @@
 """Nothing starts in an availability zone that operators have evacuated.
 
-Operators ask for it with a record of their own, which nobody read: thousands of
-tasks began on workers that were about to be switched off.
+Operators evacuate a zone by a record in the store. When owners didn't read that
+record, thousands of tasks started on workers that were about to be switched
+off.
 """
 
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -37,16 +38,18 @@
     wait_until,
 )
 
-# After its acknowledgement nothing starts in a zone for longer than this, in
-# seconds, as the users' pages ask.
-_WITHIN = 5.0
-# ... with a store that answers, as the project asks of itself.
-_SOON = 1.0
+# Seconds after the acknowledgement of an evacuation from which on nothing may
+# start in the zone, as the user documentation asks.
+_MAX_DELAY = 5.0
+# The same while the store answers: a tighter bound of this project.
+_MAX_DELAY_HEALTHY_STORE = 1.0
 _NORTH = ZONES[0]
 
 
-def _hall(plan: Callable[[TaskName], TaskPlan], each: int = 2) -> WorkerHall:
-    """Returns workers in three zones."""
+def _make_hall(
+    plan: Callable[[TaskName], TaskPlan], each: int = 2
+) -> WorkerHall:
+    """Returns a hall of workers, `each` in every zone."""
     hall = WorkerHall()
     for number in range(each * len(ZONES)):
         zone = ZONES[number % len(ZONES)]
@@ -55,7 +58,7 @@
     return hall
 
 
-def _owner(
+def _make_owner(
     store: StoreStandin, hall: WorkerHall, zones: ZoneAccess, epoch: int = 1
 ) -> Owner:
     return make_owner(store, hall, epoch, vm=VM, zones=zones)
@@ -64,7 +67,7 @@
 def _starts_in(
     hall: WorkerHall, zone: str, since: float, until: float = float("inf")
 ) -> list[RunEvent]:
-    """Returns the starts in a zone within a time."""
+    """Returns the starts in a zone after `since` and up to `until`."""
     return [
         event
         for event in hall.journal
@@ -78,18 +81,18 @@
     return hall.workers[event.worker].life.zone
 
 
-def _short(_: TaskName) -> TaskPlan:
+def _short_task(_: TaskName) -> TaskPlan:
     return TaskPlan(0.5, SMALL)
 
 
-def _lasting(_: TaskName) -> TaskPlan:
+def _lasting_task(_: TaskName) -> TaskPlan:
     return TaskPlan(LASTS, SMALL)
 
 
 async def test_first_starts_leave_an_evacuated_zone_out() -> None:
-    hall, zones = _hall(_short), ClosedZones()
+    hall, zones = _make_hall(_short_task), ClosedZones()
     zones.close(_NORTH)
-    async with running(_owner(StoreStandin(), hall, zones)) as owner:
+    async with running(_make_owner(StoreStandin(), hall, zones)) as owner:
         for number in range(6):
             await owner.desk.submit(f"j{number}", QUEUE, chain(4, 2))
         await wait_until(lambda: len(hall.journal) >= 96)
@@ -101,14 +104,14 @@
 
 
 async def test_repeats_and_moved_tasks_leave_an_evacuated_zone_out() -> None:
-    """What fails, and what its worker loses, starts in another zone."""
+    """Failed tasks and tasks of crashed workers start in another zone."""
     draw = random.Random(1)
 
     def plan(_: TaskName) -> TaskPlan:
         return TaskPlan(0.3, SMALL, fails=draw.random() < 0.4)
 
-    hall, zones = _hall(plan, each=3), ClosedZones()
-    async with running(_owner(StoreStandin(), hall, zones)) as owner:
+    hall, zones = _make_hall(plan, each=3), ClosedZones()
+    async with running(_make_owner(StoreStandin(), hall, zones)) as owner:
         for number in range(12):
             await owner.desk.submit(f"j{number}", QUEUE, chain(4, 2))
         await trio.sleep(0.4)
@@ -122,9 +125,9 @@
 
 
 async def test_a_start_that_waits_for_its_record_is_dropped() -> None:
-    """The zone is evacuated between the decision and its order."""
-    hall, zones, store = _hall(_short), ClosedZones(), StoreStandin()
-    async with running(_owner(store, hall, zones)) as owner:
+    """The zone is evacuated after the decision and before its order is sent."""
+    hall, zones, store = _make_hall(_short_task), ClosedZones(), StoreStandin()
+    async with running(_make_owner(store, hall, zones)) as owner:
         store.faults.delay = 0.6
         async with trio.open_nursery() as nursery:
             nursery.start_soon(owner.desk.submit, "j", QUEUE, chain(24, 1))
@@ -137,10 +140,10 @@
 
 
 async def test_gangs_leave_an_evacuated_zone_out() -> None:
-    hall, zones = _hall(_short), ClosedZones()
+    hall, zones = _make_hall(_short_task), ClosedZones()
     zones.close(_NORTH)
     gang = spec(StepSpec(8, SMALL, 0.5, gang=True))
-    async with running(_owner(StoreStandin(), hall, zones)) as owner:
+    async with running(_make_owner(StoreStandin(), hall, zones)) as owner:
         for number in range(3):
             await owner.desk.submit(f"g{number}", QUEUE, gang)
         await trio.sleep(5.0)
@@ -149,10 +152,10 @@
 
 
 async def test_what_runs_in_an_evacuated_zone_runs_on() -> None:
-    """Its lease is renewed: only starts are refused."""
-    hall, zones = _hall(_lasting), ClosedZones()
+    """Leases in the zone are renewed: only starts are refused."""
+    hall, zones = _make_hall(_lasting_task), ClosedZones()
     lasting = spec(StepSpec(12, SMALL, 0.5, lasting=True))
-    async with running(_owner(StoreStandin(), hall, zones)) as owner:
+    async with running(_make_owner(StoreStandin(), hall, zones)) as owner:
         await owner.desk.submit("w", QUEUE, lasting)
         await wait_until(lambda: len(hall.journal) == 12)
         before = len(_starts_in(hall, _NORTH, 0.0))
@@ -162,9 +165,9 @@
 
 
 async def test_two_zones_and_all_zones_can_be_evacuated() -> None:
-    hall, zones = _hall(_short), ClosedZones()
+    hall, zones = _make_hall(_short_task), ClosedZones()
     zones.close(*ZONES)
-    async with running(_owner(StoreStandin(), hall, zones)) as owner:
+    async with running(_make_owner(StoreStandin(), hall, zones)) as owner:
         await owner.desk.submit("j", QUEUE, chain(4, 1))
         await trio.sleep(5.0)
         assert not hall.journal
@@ -174,7 +177,7 @@
 
 
 class _Cell:
-    """An owner that follows an operator's evacuations by itself."""
+    """Owners whose VM reads an operator's evacuations from the store."""
 
     def __init__(self, followed: Followed, hall: WorkerHall) -> None:
         self.followed = followed
@@ -183,10 +186,10 @@
 
     @asynccontextmanager
     async def owned(self) -> AsyncIterator[Owner]:
-        """Lets an owner run whose VM follows the operator."""
+        """Runs the next owner, whose VM reads the operator's evacuations."""
         self._epoch += 1
         zones = self.followed.follower.evacuations
-        owner = _owner(self.followed.store, self.hall, zones, self._epoch)
+        owner = _make_owner(self.followed.store, self.hall, zones, self._epoch)
         async with running(owner):
             yield owner
 
@@ -205,8 +208,8 @@
     fault: Callable[[Followed, float], Awaitable[None]], moment: float
 ) -> float:
     """Returns the seconds from an evacuation to the last start in its zone."""
-    async with followed_operator(3.0, _WITHIN) as followed:
-        cell = _Cell(followed, _hall(_short))
+    async with followed_operator(3.0, _MAX_DELAY) as followed:
+        cell = _Cell(followed, _make_hall(_short_task))
         async with cell.owned() as owner, trio.open_nursery() as nursery:
             nursery.start_soon(cell.submit_for_ever, owner)
             await trio.sleep(1.0 + moment)
@@ -221,33 +224,33 @@
     return max((event.at - acked_at for event in late), default=0.0)
 
 
-async def _nothing(followed: Followed, moment: float) -> None:
+async def _no_fault(followed: Followed, moment: float) -> None:
     await trio.lowlevel.checkpoint()
 
 
-async def _silent(followed: Followed, moment: float) -> None:
+async def _silent_store(followed: Followed, moment: float) -> None:
     followed.store.faults.silenced += 1
     await trio.lowlevel.checkpoint()
 
 
-async def _slow(followed: Followed, moment: float) -> None:
+async def _slow_store(followed: Followed, moment: float) -> None:
     followed.store.faults.delay = 0.4
     await trio.lowlevel.checkpoint()
 
 
-async def _away_and_back(followed: Followed, moment: float) -> None:
+async def _store_outage(followed: Followed, moment: float) -> None:
     followed.store.faults.away = True
     await trio.sleep(2.0 + moment)
     followed.store.faults.away = False
 
 
 def test_an_evacuation_is_in_force_in_time_at_any_phase_of_a_wait() -> None:
-    """Whatever the store did before, and whenever the record came."""
+    """Tries each store fault with records at several phases of a poll."""
     for fault, bound in (
-        (_nothing, _SOON),
-        (_silent, _WITHIN),
-        (_slow, _WITHIN),
-        (_away_and_back, _WITHIN),
+        (_no_fault, _MAX_DELAY_HEALTHY_STORE),
+        (_silent_store, _MAX_DELAY),
+        (_slow_store, _MAX_DELAY),
+        (_store_outage, _MAX_DELAY),
     ):
         for step in range(6):
             latest: list[float] = []
@@ -264,8 +267,8 @@
 
 
 async def test_a_vm_that_can_not_read_starts_nothing() -> None:
-    """Its copy may lack an evacuation that has to be in force by now."""
-    async with followed_operator(3.0, _WITHIN) as followed:
+    """Its copy of the log may lack an evacuation that is already in force."""
+    async with followed_operator(3.0, _MAX_DELAY) as followed:
         zones = followed.follower.evacuations
         assert zones.is_open(_NORTH)
         followed.store.faults.refused = {VM}
@@ -275,18 +278,18 @@
         assert not any(zones.is_open(zone) for zone in ZONES)
         followed.store.faults.refused = set()
         await followed.lag_until(lambda: zones.is_open(_NORTH))
-        assert refused_for < _WITHIN + 1.0
+        assert refused_for < _MAX_DELAY + 1.0
 
 
 async def test_a_process_that_has_read_nothing_starts_nothing() -> None:
-    async with followed_operator(3.0, _WITHIN) as followed:
+    async with followed_operator(3.0, _MAX_DELAY) as followed:
         await followed.evacuate(_NORTH)
-        fresh = Followed(3.0, _WITHIN)
+        fresh = Followed(3.0, _MAX_DELAY)
         assert not fresh.follower.evacuations.is_open("south")
 
 
 async def test_a_removal_takes_an_evacuation_back() -> None:
-    async with followed_operator(3.0, _WITHIN) as followed:
+    async with followed_operator(3.0, _MAX_DELAY) as followed:
         zones = followed.follower.evacuations
         await followed.evacuate(_NORTH)
         await followed.evacuate("south")
@@ -294,13 +297,16 @@
         await followed.lag_until(lambda: len(zones.zones) == 3)
         assert not zones.is_open(_NORTH) and zones.is_open("west")
         await followed.restore(_NORTH)
-        assert await followed.lag_until(lambda: zones.is_open(_NORTH)) < _SOON
+        assert (
+            await followed.lag_until(lambda: zones.is_open(_NORTH))
+            < _MAX_DELAY_HEALTHY_STORE
+        )
         assert not zones.is_open("south")
 
 
 async def test_a_reader_that_begins_anew_knows_what_is_evacuated() -> None:
-    """Records and removals may have expired while it was cut off."""
-    async with followed_operator(3.0, _WITHIN) as followed:
+    """Records and removals may have expired while the reader was cut off."""
+    async with followed_operator(3.0, _MAX_DELAY) as followed:
         zones = followed.follower.evacuations
         await followed.evacuate(_NORTH)
         await followed.lag_until(lambda: not zones.is_open(_NORTH))
@@ -315,17 +321,20 @@
 
 
 async def test_a_record_without_a_readable_value_evacuates_its_zone() -> None:
-    async with followed_operator(3.0, _WITHIN) as followed:
+    async with followed_operator(3.0, _MAX_DELAY) as followed:
         record = Record(f"evacuate/{_NORTH}", b"\xff{")
         await followed.store.client("operator").append("op", [record], 1.0)
         zones = followed.follower.evacuations
         await followed.lag_until(lambda: not zones.is_open(_NORTH))
-        assert await followed.lag(await followed.publish()) < _SOON
+        assert (
+            await followed.lag(await followed.publish())
+            < _MAX_DELAY_HEALTHY_STORE
+        )
 
 
 async def test_a_successor_leaves_the_zone_out_from_its_first_start() -> None:
-    async with followed_operator(3.0, _WITHIN) as followed:
-        cell = _Cell(followed, _hall(_short))
+    async with followed_operator(3.0, _MAX_DELAY) as followed:
+        cell = _Cell(followed, _make_hall(_short_task))
         async with cell.owned() as owner:
             await owner.desk.submit("first", QUEUE, chain(60, 1))
             await trio.sleep(0.5)
@@ -334,6 +343,9 @@
         async with cell.owned():
             await trio.sleep(20.0)
         late = _starts_in(cell.hall, _NORTH, acked_at)
-        assert max((e.at - acked_at for e in late), default=0.0) < _SOON
+        assert (
+            max((e.at - acked_at for e in late), default=0.0)
+            < _MAX_DELAY_HEALTHY_STORE
+        )
         done = {e.task for e in cell.hall.journal if e.what == "done"}
         assert len(done) == 60
--- a/tests/test_owner_chaos.py
+++ b/tests/test_owner_chaos.py
@@ -1,9 +1,9 @@
-"""Random owners, cuts, late orders and store faults against the promises.
+"""Random take-overs, partitions, late orders and store faults.
 
-The real owner classes run in virtual time against stand-ins. Whatever comes
-together, no two runs of a task are on workers at once, none starts after one
-ended well, none goes on crashing its workers, none starts in a zone that is
-evacuated, and all jobs end once the faults are over.
+The real owner classes run in virtual time against stand-ins. Whatever faults
+coincide, the guarantees hold: no two runs of a task are on workers at once, no
+run starts after one has succeeded, no task goes on crashing its workers, no run
+starts in an evacuated zone, and all jobs end once the faults are over.
 """
 
 from collections.abc import Iterator
@@ -50,44 +50,43 @@
     running,
 )
 
-# Each of these runs in about a second; `python -m tests.owner_chaos` is not
-# needed: more seeds are tried by widening this range by hand.
+# Each seed takes about a second. To try more seeds, widen this range.
 SEEDS = range(12)
 _WORKERS = 5
 _ROUNDS = 6
-# Once the faults are over all jobs have ended within this, in seconds.
-_SETTLE = 90.0
-_FAILING = 0.2
-# Share of the jobs of which a task crashes the workers that start it.
-_CRASHING = 0.1
-# Share of the workers that start again with each strike where they do so often.
-_RESTARTING = 0.5
+# Seconds within which all jobs end once the faults are over.
+_END_TIMEOUT = 90.0
+_FAILURE_PROBABILITY = 0.2
+# Share of jobs with a task that crashes each worker that starts it.
+_CRASHING_JOB_SHARE = 0.1
+# Share of workers that restart in each round of frequent restarts.
+_RESTART_SHARE = 0.5
 
 
-class _World:
-    """One random history."""
+class _History:
+    """The state of one random history of faults."""
 
     def __init__(
         self,
         seed: int,
         *,
         restarts: bool,
-        often: bool,
+        frequent_restarts: bool,
         evacuations: bool,
-        births: bool,
+        report_born: bool,
         intake: bool,
     ) -> None:
         self.random = random.Random(seed)
-        self._stores = random.Random(seed)
+        self._store_random = random.Random(seed)
         self.cancelled: set[str] = set()
         self.intake = intake
-        self._often = often
-        self._births = births
+        self._frequent_restarts = frequent_restarts
+        self._report_born = report_born
         self._restarts = restarts
         self._evacuations = evacuations
-        # A start that was sent before its zone was evacuated is told apart by
-        # nothing if it comes late.
-        self._late = 0.0 if evacuations else 0.1
+        # No late starts with evacuations: a late start that was sent before the
+        # evacuation of its zone can't be told from one sent after it.
+        self._late_probability = 0.0 if evacuations else 0.1
         self.zones = ClosedZones()
         self.store = StoreStandin(seed)
         self.hall: WorkerHall = make_hall(_WORKERS, self.plan)
@@ -95,7 +94,7 @@
         self.generation = 0
         self._submitted = 0
         for worker in self.hall.workers.values():
-            worker.faults.late = self._late
+            worker.faults.late = self._late_probability
             worker.faults.lost = 0.1
             worker.life = self._listed(worker.life)
         self.store.faults.lost = 0.1
@@ -103,7 +102,7 @@
 
     def plan(self, name: TaskName) -> TaskPlan:
         """Returns how a run of a task goes."""
-        fails = self.random.random() < _FAILING
+        fails = self.random.random() < _FAILURE_PROBABILITY
         crashing = name.job.startswith("crash") and not name.position
         return TaskPlan(
             self.random.uniform(0.2, 4.0),
@@ -112,19 +111,19 @@
             crashes_after=0.01 if crashing else NEVER,
         )
 
-    async def submit_some(self, owner: Owner) -> None:
-        """Submits jobs as callers do, within a time."""
+    async def submit_jobs(self, owner: Owner) -> None:
+        """Submits jobs as callers do, with a timeout."""
         for _ in range(3):
             self._submitted += 1
-            crashing = self.random.random() < _CRASHING
+            crashing = self.random.random() < _CRASHING_JOB_SHARE
             job = f"{'crash' if crashing else 'j'}{self._submitted}"
             with trio.move_on_after(2.0):
                 reply = await owner.desk.submit(job, QUEUE, chain(3, 2))
                 if reply.outcome is Outcome.OK:
                     self.accepted.add(job)
 
-    async def store_some(self) -> None:
-        """Has an entry VM store jobs while no owner is there."""
+    async def store_jobs_without_owner(self) -> None:
+        """Stores jobs as an entry VM does while there is no owner."""
         for _ in range(2):
             self._submitted += 1
             job = f"j{self._submitted}"
@@ -132,7 +131,7 @@
             if not await self._is_stored(Record(submission_key(job), value)):
                 continue
             self.accepted.add(job)
-            cancels = self._stores.random() < 0.3
+            cancels = self._store_random.random() < 0.3
             if cancels and await self._is_stored(
                 Record(cancel_key(job), b"\x01")
             ):
@@ -145,21 +144,23 @@
             return False
         return True
 
-    async def strike(self, vm: str) -> None:
-        """Brings some faults about, and takes others back."""
-        cut = self.hall.cut.setdefault(vm, set())
-        cut.clear()
+    async def inject_faults(self, vm: str) -> None:
+        """Starts some faults and ends others."""
+        cut_off = self.hall.cut.setdefault(vm, set())
+        cut_off.clear()
         lives = sorted(self.hall.workers)
         for life_id in self.random.sample(lives, 2):
-            cut.add(life_id)
+            cut_off.add(life_id)
         self.store.faults.away = self.random.random() < 0.3
         if self.random.random() < 0.4:
-            self._replace(self.random.choice(lives))
+            self._replace_worker(self.random.choice(lives))
         if self._restarts and self.random.random() < 0.6:
             lives = sorted(self.hall.workers)
             self.hall.workers[self.random.choice(lives)].restart()
-        for life_id in sorted(self.hall.workers) if self._often else ():
-            if self.random.random() < _RESTARTING:
+        for life_id in (
+            sorted(self.hall.workers) if self._frequent_restarts else ()
+        ):
+            if self.random.random() < _RESTART_SHARE:
                 self.hall.workers[life_id].restart()
         if not self._evacuations:
             await trio.sleep(self.random.uniform(0.5, 5.0))
@@ -168,7 +169,7 @@
             await trio.sleep(self.random.uniform(0.1, 3.0))
         self.store.faults.away = False
 
-    def _replace(self, life_id: str) -> None:
+    def _replace_worker(self, life_id: str) -> None:
         self.generation += 1
         old = self.hall.workers.pop(life_id)
         old.crash()
@@ -179,114 +180,114 @@
         worker = TaskWorkerStandin(
             new, self.plan, self.hall.journal, seed=self.generation
         )
-        worker.faults.late, worker.faults.lost = self._late, 0.1
+        worker.faults.late, worker.faults.lost = self._late_probability, 0.1
         self.hall.add(worker)
 
     def _listed(self, entry: WorkerLife) -> WorkerLife:
         entry = entry._replace(zone=_zone_of(entry.id))
-        return entry if self._births else entry._replace(born=0)
+        return entry if self._report_born else entry._replace(born=0)
 
-    def calm(self) -> None:
+    def end_faults(self) -> None:
         """Ends all faults."""
         self.zones.open_all()
         self.store.faults.away = False
         self.store.faults.lost = self.store.faults.late = 0.0
-        for cut in self.hall.cut.values():
-            cut.clear()
+        for cut_off in self.hall.cut.values():
+            cut_off.clear()
         for worker in self.hall.workers.values():
             worker.faults.late = worker.faults.lost = 0.0
 
 
 @contextmanager
 def suppress_early_end() -> Iterator[None]:
-    """Lets an owner end that could not take the cell over."""
+    """Ignores the end of an owner that could not take the cell over."""
     try:
         yield
     except* OwnerEndedError:
         pass
 
 
-async def play(
+async def run_history(
     seed: int,
     *,
     restarts: bool = False,
-    often: bool = False,
+    frequent_restarts: bool = False,
     evacuations: bool = False,
-    births: bool = True,
+    report_born: bool = True,
     intake: bool = False,
 ) -> None:
-    """Plays one random history.
+    """Runs one random history and checks the guarantees.
 
     Args:
-        seed: What it is drawn from.
-        restarts: Whether workers also start again under the id that they had.
-        often: Whether half of the workers do so at a time.
-        evacuations: Whether zones are also evacuated and taken back.
-        births: Whether workers tell when they were born.
-        intake: Whether entry VMs take jobs in between two owners, and the store
+        seed: Seed of the history.
+        restarts: Whether workers also restart under the same id.
+        frequent_restarts: Whether half of the workers restart at a time.
+        evacuations: Whether zones are also evacuated and restored.
+        report_born: Whether workers report when they were born.
+        intake: Whether entry VMs store jobs between two owners, and the store
             carries some appends out seconds later.
 
     Raises:
-        AssertionError: A promise was broken.
+        AssertionError: A guarantee was broken.
     """
-    world = _World(
+    history = _History(
         seed,
         restarts=restarts,
-        often=often,
+        frequent_restarts=frequent_restarts,
         evacuations=evacuations,
-        births=births,
+        report_born=report_born,
         intake=intake,
     )
     with mock.patch.object(wall, "now", trio.current_time):
         async with trio.open_nursery() as nursery:
-            supervisor = Supervisor(world.hall, world.plan, seed=seed)
+            supervisor = Supervisor(history.hall, history.plan, seed=seed)
             nursery.start_soon(supervisor.run)
-            states = await _run_owners(world)
+            states = await _run_owners(history)
             nursery.cancel_scope.cancel()
-    _check(world, states, seed)
+    _check(history, states, seed)
 
 
-async def _run_owners(world: _World) -> dict[str, JobState | None]:
-    """Lets one owner follow the other; returns what became of each job."""
+async def _run_owners(history: _History) -> dict[str, JobState | None]:
+    """Runs owners one after the other; returns the final state of each job."""
     for epoch in range(1, _ROUNDS + 1):
         vm = f"vm{epoch % 3}"
         owner = make_owner(
-            world.store,
-            world.hall,
+            history.store,
+            history.hall,
             epoch,
             vm=vm,
             former_quiet=False,
-            zones=world.zones,
+            zones=history.zones,
         )
-        if world.intake:
-            await world.store_some()
-        # An owner that can't read its state gives the cell to the next one.
+        if history.intake:
+            await history.store_jobs_without_owner()
+        # An owner that can't read its state releases the cell to the next one.
         with suppress_early_end():
             async with running(owner):
-                await world.submit_some(owner)
-                await world.strike(vm)
-    world.calm()
-    owner = make_owner(world.store, world.hall, _ROUNDS + 1, vm="last")
+                await history.submit_jobs(owner)
+                await history.inject_faults(vm)
+    history.end_faults()
+    owner = make_owner(history.store, history.hall, _ROUNDS + 1, vm="last")
     async with running(owner):
-        with trio.move_on_after(_SETTLE):
+        with trio.move_on_after(_END_TIMEOUT):
             while not all(
                 owner.desk.state(job).state in TERMINAL
-                for job in world.accepted
+                for job in history.accepted
             ):
                 await trio.sleep(0.05)
-        states = {job: owner.desk.state(job).state for job in world.accepted}
-    for worker in world.hall.workers.values():
+        states = {job: owner.desk.state(job).state for job in history.accepted}
+    for worker in history.hall.workers.values():
         worker.listing()
     return states
 
 
 def _check(
-    world: _World, states: dict[str, JobState | None], seed: int
+    history: _History, states: dict[str, JobState | None], seed: int
 ) -> None:
     journal = sorted(
-        world.hall.journal, key=lambda e: (e.at, e.what == "start")
+        history.hall.journal, key=lambda e: (e.at, e.what == "start")
     )
-    assert world.accepted
+    assert history.accepted
     assert not find_twice(journal), (seed, find_twice(journal)[:3])
     assert not find_again(journal), (seed, find_again(journal)[:3])
     assert not find_over_budget(journal), (seed, find_over_budget(journal)[:3])
@@ -295,15 +296,17 @@
         event
         for event in journal
         if event.what == "start"
-        and world.zones.was_closed(_zone_of(event.worker), event.at)
+        and history.zones.was_closed(_zone_of(event.worker), event.at)
     ]
     assert not in_closed, (seed, in_closed[:3])
     started = {e.task.job for e in journal if e.what == "start"}
-    assert not started & world.cancelled, (seed, started & world.cancelled)
+    assert not started & history.cancelled, (seed, started & history.cancelled)
     not_ended = [j for j, state in states.items() if state not in TERMINAL]
     assert not not_ended, (seed, not_ended)
     failed = [
-        job for job in sorted(world.accepted) if states[job] is JobState.FAILED
+        job
+        for job in sorted(history.accepted)
+        if states[job] is JobState.FAILED
     ]
     without_cause = [
         job
@@ -314,45 +317,49 @@
 
 
 def _zone_of(worker: str) -> str:
-    """Returns the zone of a life's id or its machine's, by its number."""
+    """Returns the zone of a worker life or its machine, by the id's number."""
     machine = worker.lstrip("wm").partition("-")[0]
     return ZONES[int(machine) % len(ZONES)]
 
 
 def test_random_faults_break_no_promise() -> None:
     for seed in SEEDS:
-        run_virtual(lambda seed=seed: play(seed), seed)  # type: ignore[misc]
+        run_virtual(lambda seed=seed: run_history(seed), seed)  # type: ignore[misc]
 
 
 def test_random_faults_and_restarts_break_no_promise() -> None:
     for seed in SEEDS:
-        run_virtual(lambda s=seed: play(s, restarts=True), seed)  # type: ignore[misc]
+        run_virtual(lambda s=seed: run_history(s, restarts=True), seed)  # type: ignore[misc]
 
 
 def test_random_faults_and_frequent_restarts_break_no_promise() -> None:
     for seed in SEEDS:
         run_virtual(
-            lambda s=seed: play(s, restarts=True, often=True),  # type: ignore[misc]
+            lambda s=seed: run_history(
+                s, restarts=True, frequent_restarts=True
+            ),  # type: ignore[misc]
             seed,
         )
 
 
 def test_restarts_start_no_crashing_task_more_often_than_allowed() -> None:
-    # What a new owner infers of a run lets crashes count as chance.
+    # Seeds on which a new owner counted crashes as coincidence because of what
+    # it inferred about a run.
     for seed in (3004, 3021):
-        run_virtual(lambda s=seed: play(s, restarts=True), seed)  # type: ignore[misc]
+        run_virtual(lambda s=seed: run_history(s, restarts=True), seed)  # type: ignore[misc]
 
 
 def test_restarts_give_no_job_up_without_cause() -> None:
-    # With what former owners saw of runs: it had crashed no two in a row.
-    run_virtual(lambda: play(4038, restarts=True), 4038)
+    # The new owner has to use what former owners recorded about runs: this task
+    # had not crashed two workers in a row.
+    run_virtual(lambda: run_history(4038, restarts=True), 4038)
 
 
 def test_random_faults_and_jobs_stored_without_owner_break_no_promise() -> None:
     for seed in SEEDS[:4]:
-        run_virtual(lambda s=seed: play(s, intake=True), seed)  # type: ignore[misc]
+        run_virtual(lambda s=seed: run_history(s, intake=True), seed)  # type: ignore[misc]
 
 
 def test_random_faults_and_evacuations_break_no_promise() -> None:
     for seed in SEEDS:
-        run_virtual(lambda s=seed: play(s, evacuations=True), seed)  # type: ignore[misc]
+        run_virtual(lambda s=seed: run_history(s, evacuations=True), seed)  # type: ignore[misc]
--- a/tests/test_owner_cost.py
+++ b/tests/test_owner_cost.py
@@ -1,4 +1,4 @@
-"""What a task run costs stays within a ratio to one bare call."""
+"""The cost of a task run stays within a ratio to a bare call to a worker."""
 
 from bench.owner import RATIO_BOUND, measure
 from tests.test_http import real_time
@@ -8,5 +8,5 @@
 async def test_a_run_costs_a_bounded_number_of_calls() -> None:
     cost = await measure()
     assert cost.ratio <= RATIO_BOUND, cost
-    # Two records of a step's progress, shared by its tasks, and the job's own.
+    # Two progress records of the step, shared by its tasks, and the job record.
     assert cost.bytes_a_run < 60, cost
--- a/tests/test_owner_steps.py
+++ b/tests/test_owner_steps.py
@@ -1,4 +1,4 @@
-"""The owner of a cell: what steps ask for is kept."""
+"""The owner of a cell honours the requirements of steps."""
 
 from collections.abc import Sequence
 from unittest import mock
@@ -61,8 +61,8 @@
 async def test_room_kept_for_short_work_does_not_hold_lasting_tasks_long() -> (
     None
 ):
-    # Seen on a played day: a watch that had failed waited 40 s for room that
-    # was there, but kept for short work.
+    # A watch that had failed waited 40 s for capacity that was free, but kept
+    # for short tasks.
     store = StoreStandin()
     hall = make_hall(
         2,
@@ -83,7 +83,7 @@
 
 
 class _Adviser:
-    """Lets only two workers run anything, by tickets that hold 2 s."""
+    """Issues tickets for two workers only; a ticket is valid for 2 s."""
 
     def __init__(self, *, failing: int = 0) -> None:
         self.calls = 0
@@ -156,7 +156,7 @@
 
 async def test_a_gang_starts_whole_or_not_at_all() -> None:
     store = StoreStandin()
-    # Two workers of 8 cores carry 16 of these 20 members.
+    # Two workers of 8 cores have capacity for 16 of these 20 members.
     hall = make_hall(2, plan=lambda _: TaskPlan(1.0, SMALL))
     wide = StepSpec(20, SMALL, 1.0, gang=True)
     fits = StepSpec(12, SMALL, 1.0, gang=True)
--- a/tests/test_pass_cost.py
+++ b/tests/test_pass_cost.py
@@ -1,10 +1,10 @@
-"""What a pass of decisions costs grows as workers plus placements do.
+"""The cost of a scheduling pass grows with workers plus placements.
 
-In a cell of 246 workers each task that was placed had all workers looked at
-anew. A pass took 0.07 s on average and up to 0.7 s of a core, in the one thread
-that also renews leases and reads listings, on a VM of two cores; listings came
-to be read too late, and leases lapsed under an owner that lived. What is
-counted here are looks at a worker and calls of functions, not seconds.
+Guards against evaluating all workers again for each placed task. In a cell of
+246 workers a pass then took 0.07 s on average and up to 0.7 s of a core, in the
+thread that also renews leases and reads listings, on a VM of two cores.
+Listings were read too late, and leases lapsed although the owner was alive. The
+tests count evaluations of a worker and function calls, not seconds.
 """
 
 import sys
@@ -32,26 +32,26 @@
 )
 _FILLING = StepSpec(20, Size(1_500, 1_000, 0), 2.0, fills=True)
 _QUICK = StepSpec(10, Size(1_000, 2_000, 0), 1.0)
-# Two images that fill, two that serve, and what is short.
-_KINDS = 5
+# Two filler images, two serving images and short tasks.
+_STEP_KINDS = 5
 # Seconds.
-_PACED_FOR = 2.0
+_PACING_SECONDS = 2.0
 
 
-class _Counter:
-    """Counts calls of functions in the package."""
+class _CallCounter:
+    """Counts function calls within the package."""
 
     def __init__(self) -> None:
         self.calls = 0
 
     def note(self, frame: FrameType, event: str, _: object) -> None:
-        """Takes an event of the interpreter."""
+        """Profile function for `sys.setprofile`."""
         if event == "call" and "pimentocross" in frame.f_code.co_filename:
             self.calls += 1
 
 
 def _worker(number: int) -> Worker:
-    """Returns a worker on which two tasks of an image serve."""
+    """Returns a worker that runs two serving tasks of one image."""
     listed = life(number, rack=f"r{number // 20}")
     worker = make_worker(listed._replace(capacity=_CAPACITY), number)
     spec = _SERVING._replace(
@@ -61,30 +61,31 @@
     return worker
 
 
-def _submit(book: JobBook, parts: int) -> int:
-    """Brings forty tasks a part; returns how many in all."""
+def _submit_jobs(book: JobBook, job_groups: int) -> int:
+    """Submits 40 tasks per group; returns the number of tasks."""
     tasks = 0
-    for part in range(parts):
+    for group in range(job_groups):
         for spec in (
-            _FILLING._replace(image=f"fill{part % 2}"),
-            _SERVING._replace(image=f"serve{part % 2}"),
+            _FILLING._replace(image=f"fill{group % 2}"),
+            _SERVING._replace(image=f"serve{group % 2}"),
             _QUICK,
         ):
-            book.accept(f"{part}.{spec.size}", QUEUE, JobSpec("", (spec,)))
+            book.accept(f"{group}.{spec.size}", QUEUE, JobSpec("", (spec,)))
             tasks += spec.width
     return tasks
 
 
-async def _pass_over(workers: int, parts: int) -> int:
-    """Has what waits placed; returns how many calls it took."""
+async def _count_calls_of_pass(workers: int, job_groups: int) -> int:
+    """Returns the number of function calls to place all waiting tasks."""
     cell = PassCell(map(_worker, range(workers)))
-    # All pairs are known: else few tasks fill before the first readings.
+    # Teaches all pairs of images; otherwise few fillers are placed before the
+    # first readings.
     for _ in range(9):
         for n in range(4):
             image, loads = f"serve{n % 2}", {f"fill{n // 2}": 0.9}
             cell.learned.disturbance.learn(image, loads, 0.45, 0.0)
-    tasks = _submit(cell.book, parts)
-    counter = _Counter()
+    tasks = _submit_jobs(cell.book, job_groups)
+    counter = _CallCounter()
     with trio.move_on_after(1.0):
         sys.setprofile(counter.note)
         try:
@@ -95,28 +96,28 @@
     return counter.calls
 
 
-async def _pass_while_looks_are_counted(workers: int, parts: int) -> None:
+async def _check_worker_evaluations(workers: int, job_groups: int) -> None:
     with mock.patch.object(field, "fit", wraps=hosts.fit) as fit:
-        await _pass_over(workers, parts)
-    most = _KINDS * workers + 4 * 40 * parts
+        await _count_calls_of_pass(workers, job_groups)
+    most = _STEP_KINDS * workers + 4 * 40 * job_groups
     assert fit.call_count <= most, (fit.call_count, most)
 
 
-def test_a_pass_looks_at_a_worker_a_few_times() -> None:
-    run_virtual(lambda: _pass_while_looks_are_counted(246, 10))
+def test_a_pass_evaluates_each_worker_a_few_times() -> None:
+    run_virtual(lambda: _check_worker_evaluations(246, 10))
 
 
-async def _compare() -> None:
-    small = await _pass_over(61, 5)
-    large = await _pass_over(244, 20)
+async def _compare_cell_sizes() -> None:
+    small = await _count_calls_of_pass(61, 5)
+    large = await _count_calls_of_pass(244, 20)
     assert large <= 5 * small, (small, large, large / small)
 
 
 def test_a_pass_over_a_cell_four_times_as_large_costs_four_times() -> None:
-    run_virtual(_compare)
+    run_virtual(_compare_cell_sizes)
 
 
-async def _pace_in_short_passes() -> None:
+async def _pace_fillers_in_short_passes() -> None:
     workers = list(map(_worker, range(50)))
     cell = PassCell(workers)
     for worker in workers:
@@ -126,21 +127,24 @@
     passes = 0
     with mock.patch.object(
         run_control, "next_paces", wraps=next_paces
-    ) as paces:
+    ) as next_paces_calls:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(cell.run)
-            while trio.current_time() < _PACED_FOR:
+            while trio.current_time() < _PACING_SECONDS:
                 cell.dispatcher.wake()
                 passes += 1
                 await trio.sleep(const.MIN_PASS_PAUSE)
             nursery.cancel_scope.cancel()
-    # As often as a cell in which nothing happens passes over its workers.
-    most = 50 * (_PACED_FOR / const.PASS_INTERVAL + 1)
-    assert paces.call_count <= most, (paces.call_count, passes)
-    assert paces.call_count >= most / 3, paces.call_count
+    # As often as an idle cell checks its workers.
+    most = 50 * (_PACING_SECONDS / const.PASS_INTERVAL + 1)
+    assert next_paces_calls.call_count <= most, (
+        next_paces_calls.call_count,
+        passes,
+    )
+    assert next_paces_calls.call_count >= most / 3, next_paces_calls.call_count
 
 
 def test_workers_on_which_nothing_changed_are_not_paced_in_each_pass() -> None:
-    # Care for what runs took 12 ms of each pass over 246 workers, and each
-    # listing of one worker asks for a pass over all.
-    run_virtual(_pace_in_short_passes)
+    # Checking all runs took 12 ms of each pass over 246 workers, and each
+    # listing of a worker requests a pass.
+    run_virtual(_pace_fillers_in_short_passes)
--- a/tests/test_pass_share.py
+++ b/tests/test_pass_share.py
@@ -1,10 +1,10 @@
-"""What passes of decisions take of the owner's one thread.
+"""The share of the owner's single thread that scheduling passes take.
 
-On a day with 246 workers a pass took up to 0.7 s of a core, and the next one
-began 10 ms after it: the owner's VM was at all its processor time for a minute
-and a half. Renewals and listings waited behind decisions on work that could
-have waited longer than they. Here each step costs 20 ms to place, whatever
-choosing costs, so that a pass over all that waits takes over a second.
+Guards against passes that starve lease renewals and listings. With 246 workers
+a pass took up to 0.7 s of a core, and the next one began 10 ms later: the
+owner's VM was out of processor time for a minute and a half. In these tests
+placing a step is charged 20 ms, whatever choosing a worker really costs, so
+that a pass over all waiting steps takes over a second.
 """
 
 from collections.abc import AsyncIterator, Callable, Iterator
@@ -30,36 +30,36 @@
 )
 from tests.slow_vm import ChargingClock, run_on_slow_vm
 
-# Processor seconds that placing a step is made to cost.
-_PLACE_COST = 0.02
-# Steps without room: looking at each once takes 1.2 s.
+# Processor seconds that placing a step is charged.
+_PLACE_SECONDS = 0.02
+# Steps that fit on no worker: trying each once takes 1.2 s.
 _WAITING = 60
 _SECONDS = 6.0
-# Peers take an owner for silent after a second; heartbeats, renewals and
-# callers share what this leaves.
-_LATE_MOST = 0.25
-# Half of the time, and a little that is measured beside it.
-_SHARE_MOST = 0.6
-# What waits is looked at all the same.
-_SHARE_LEAST = 0.2
-_PATIENT = QUEUE._replace(name="patient", priority=1)
-_LAST = QUEUE._replace(name="last", priority=2)
+# Peers suspect an owner after a second of silence. The rest of that second is
+# left for heartbeats, renewals and callers.
+_MAX_LATENESS = 0.25
+# Half of the time plus a margin for other measured work.
+_MAX_SHARE = 0.6
+# The passes still have to make progress.
+_MIN_SHARE = 0.2
+_LOW_PRIORITY = QUEUE._replace(name="patient", priority=1)
+_LOWEST_PRIORITY = QUEUE._replace(name="last", priority=2)
 
 
 class _Cell:
-    """An owner under test, its workers, and what placing took."""
+    """An owner under test, its workers, and the seconds spent on placing."""
 
     def __init__(self, owner: Owner, hall: WorkerHall) -> None:
         self.owner = owner
         self.hall = hall
-        self.placing = 0.0
+        self.placing_seconds = 0.0
 
 
 def test_a_long_pass_lets_others_have_the_thread() -> None:
     async def play(clock: ChargingClock) -> None:
         async with _busy_cell(clock):
-            worst = await _worst_lateness()
-            assert worst < _LATE_MOST, worst
+            max_lateness = await _measure_max_lateness()
+            assert max_lateness < _MAX_LATENESS, max_lateness
 
     run_on_slow_vm(1.0, play)
 
@@ -67,15 +67,15 @@
 def test_passes_take_a_bounded_share_of_the_time() -> None:
     async def play(clock: ChargingClock) -> None:
         async with _busy_cell(clock) as cell:
-            before = cell.placing
+            before = cell.placing_seconds
             await trio.sleep(_SECONDS)
-            share = (cell.placing - before) / _SECONDS
-            assert _SHARE_LEAST < share < _SHARE_MOST, share
+            share = (cell.placing_seconds - before) / _SECONDS
+            assert _MIN_SHARE < share < _MAX_SHARE, share
 
     run_on_slow_vm(1.0, play)
 
 
-def test_what_is_urgent_does_not_wait_for_a_pass_to_end() -> None:
+def test_urgent_tasks_do_not_wait_for_a_pass_to_end() -> None:
     async def play(clock: ChargingClock) -> None:
         async with _busy_cell(clock) as cell:
             for number in range(9):
@@ -85,19 +85,17 @@
                 with _more_starts(cell.hall) as has_started:
                     await wait_until(has_started)
                 took = trio.current_time() - began
-                assert took < 2 * _LATE_MOST, (number, took)
+                assert took < 2 * _MAX_LATENESS, (number, took)
 
     run_on_slow_vm(1.0, play)
 
 
-def test_the_least_urgent_is_reached_though_nothing_before_it_has_room() -> (
-    None
-):
+def test_the_least_urgent_task_starts_though_none_before_it_fits() -> None:
     async def play(clock: ChargingClock) -> None:
         async with _busy_cell(clock) as cell:
-            await cell.owner.desk.submit("last", _LAST, chain(1, 1))
-            # At half of the time all that waits takes 2.4 s to look at, twice
-            # if it came in just after its turn.
+            await cell.owner.desk.submit("last", _LOWEST_PRIORITY, chain(1, 1))
+            # With half of the thread, a round over all waiting steps takes
+            # 2.4 s. It takes two rounds if the job arrived just after its turn.
             with trio.fail_after(6.0), _more_starts(cell.hall) as has_started:
                 await wait_until(has_started)
 
@@ -106,34 +104,34 @@
 
 @asynccontextmanager
 async def _busy_cell(clock: ChargingClock) -> AsyncIterator[_Cell]:
-    """Runs an owner of more waiting steps than it can look at in a second."""
+    """Runs an owner with more waiting steps than it can try in a second."""
     hall = make_hall()
     cell = _Cell(make_owner(StoreStandin(), hall, 1), hall)
-    with _charged_placing(clock, cell):
+    with _placing_charged(clock, cell):
         async with running(cell.owner) as owner:
             for number in range(_WAITING):
                 await owner.desk.submit(
-                    f"f{number}", _PATIENT, _roomless(number)
+                    f"f{number}", _LOW_PRIORITY, _unplaceable(number)
                 )
             await trio.sleep(1.0)
             yield cell
 
 
-def _roomless(number: int) -> JobSpec:
-    """Returns a job that no worker has the memory for, of its own kind."""
+def _unplaceable(number: int) -> JobSpec:
+    """Returns a job too large for any worker, with an image of its own."""
     size = Size(1_000, 20_000, 0)
     step = StepSpec(1, size, 1.0, image=f"fill{number}", fills=True)
     return JobSpec("", (step,))
 
 
 @contextmanager
-def _charged_placing(clock: ChargingClock, cell: _Cell) -> Iterator[None]:
+def _placing_charged(clock: ChargingClock, cell: _Cell) -> Iterator[None]:
     real = Placer.place
 
     def charged(self: Placer, step: Step, *args: object) -> object:
-        # Whatever this machine is like just now.
-        clock.charge(_PLACE_COST / clock.factor)
-        cell.placing += _PLACE_COST
+        # Independent of the present speed of the computer that runs the test.
+        clock.charge(_PLACE_SECONDS / clock.factor)
+        cell.placing_seconds += _PLACE_SECONDS
         return real(self, step, *args)
 
     with mock.patch.object(Placer, "place", charged):
@@ -146,11 +144,11 @@
     yield lambda: count(hall.journal, "start") > before
 
 
-async def _worst_lateness() -> float:
-    """Returns the most that a timer of 50 ms is late in some seconds."""
-    worst = 0.0
+async def _measure_max_lateness() -> float:
+    """Returns the maximum lateness of a 50 ms timer within `_SECONDS`."""
+    max_lateness = 0.0
     ends = trio.current_time() + _SECONDS
     while (began := trio.current_time()) < ends:
         await trio.sleep(0.05)
-        worst = max(worst, trio.current_time() - began - 0.05)
-    return worst
+        max_lateness = max(max_lateness, trio.current_time() - began - 0.05)
+    return max_lateness
