--- a/pimentocross/owner/capacity_reserve.py
+++ b/pimentocross/owner/capacity_reserve.py
@@ -64,7 +64,11 @@
         return free - self._headroom.missing(capacity, short_cpu)
 
     def is_held_back(self, step: Step, now: float) -> bool:
-        """Returns whether a step has to wait as only the reserve is free."""
+        """Returns whether a step must not use the reserve.
+
+        A step may use it once it has waited for `HELD_BACK_MOST` seconds.
+        Steps with lasting tasks that have run before may always use it.
+        """
         if not _respects_headroom(step) or _was_started_before(step):
             return False
         return self._waited_for(step, now) < HELD_BACK_MOST
--- a/pimentocross/owner/const.py
+++ b/pimentocross/owner/const.py
@@ -41,10 +41,10 @@
 # Usual time that a worker may hold a listing call open. Each such call also
 # renews the worker's leases.
 HOLD_WAIT: Final = 1.0
-# The same for workers on which serving tasks run beside fillers, as their
-# readings are needed more often ...
+# Usual time for workers on which serving tasks run beside fillers: their
+# readings are needed more often.
 HOLD_WAIT_SERVING: Final = 0.5
-# ... and its upper bound when listings take much of the owner's thread: two
+# Upper bound of that time when listings take much of the owner's thread: two
 # readings still arrive within the time that a task may be over its target.
 MAX_HOLD_WAIT_SERVING: Final = 0.75
 HOLD_SLACK: Final = 0.8
--- a/pimentocross/owner/copier.py
+++ b/pimentocross/owner/copier.py
@@ -81,7 +81,7 @@
         self._reserve = reserve
         self._history = CopyHistory()
         self._pairs: dict[Task, _Pair] = {}
-        self._passed_at = float("-inf")
+        self._last_pass_at = float("-inf")
 
     def pass_over(
         self, find_healthy: Callable[[float], Sequence[Worker]], now: float
@@ -93,9 +93,9 @@
                 quarantined at a time.
             now: Present time, monotonic.
         """
-        if now - self._passed_at < _PASS_INTERVAL:
+        if now - self._last_pass_at < _PASS_INTERVAL:
             return []
-        self._passed_at = now
+        self._last_pass_at = now
         self._forget_ended()
         stragglers = sorted(
             self._find_stragglers(now), key=lambda found: -found.straggler.left
@@ -103,18 +103,18 @@
         if not stragglers:
             return []
         healthy = find_healthy(now)
-        copy_room = self._copy_room(healthy, now)
+        copy_budget = self._copy_budget(healthy, now)
         placed = []
         for found in stragglers:
             cpu_requested = found.task.step.spec.size.cpu
-            if not copy_room.admits(cpu_requested) or not self._admits(
+            if not copy_budget.admits(cpu_requested) or not self._admits(
                 found.task.step, now
             ):
                 continue
             placement = self._place(found, healthy, now)
             if placement is not None:
                 placed.append(placement)
-                copy_room = copy_room.after(cpu_requested)
+                copy_budget = copy_budget.after(cpu_requested)
         return placed
 
     def note_ended(self, task: Task, run: Run | None, ending: Ending) -> None:
@@ -196,7 +196,7 @@
     def _fresh_run_seconds(self, step: Step) -> float:
         return self._learned.durations.by_tasks(step)
 
-    def _copy_room(self, healthy: Sequence[Worker], now: float) -> CopyRoom:
+    def _copy_budget(self, healthy: Sequence[Worker], now: float) -> CopyRoom:
         waiting = self._book.open_steps(wall.now())
         spare = self._reserve.spare(healthy, waiting, now) - sum(
             step.waiting_count * step.spec.committed.cpu for step in waiting
--- a/pimentocross/owner/dispatcher.py
+++ b/pimentocross/owner/dispatcher.py
@@ -99,7 +99,7 @@
         self._roster = roster
         self._config = config
         self._learned = learned
-        self._care = RunController(roster, learned)
+        self._run_controller = RunController(roster, learned)
         self._rebalancer = Rebalancer(learned)
         self._reclaimer = Reclaimer()
         self._reserve = CapacityReserve()
@@ -132,7 +132,7 @@
     def _run_pass(self, orders: Orders) -> None:
         self._apply_config()
         self._learned.disturbance.advance(trio.current_time())
-        self._care.pass_over(orders)
+        self._run_controller.pass_over(orders)
         if not self._round.interrupted:
             self._round = Round()
         self._round.begin_pass()
--- a/pimentocross/owner/rebalancer.py
+++ b/pimentocross/owner/rebalancer.py
@@ -49,7 +49,7 @@
         # Monotonic time at which a doubtful pair of each filler image was last
         # tried again.
         self._retried_at: dict[str, float] = {}
-        self._passed_at = float("-inf")
+        self._last_pass_at = float("-inf")
 
     def pass_over(
         self,
@@ -66,9 +66,9 @@
             orders: Sends the stop orders.
             now: Present time, monotonic.
         """
-        if now - self._passed_at < _PASS_INTERVAL:
+        if now - self._last_pass_at < _PASS_INTERVAL:
             return
-        self._passed_at = now
+        self._last_pass_at = now
         demand = self._demand.note(_filler_demand(waiting, workers), now)
         compatibility = Compatibility(demand, self._disturbance)
         scarcity = scarcities(demand, workers, compatibility)
--- a/pimentocross/owner/reclaimer.py
+++ b/pimentocross/owner/reclaimer.py
@@ -59,7 +59,7 @@
         self._away_since: WeakKeyDictionary[Task, tuple[int, float]] = (
             WeakKeyDictionary()
         )
-        self._passed_at = float("-inf")
+        self._last_pass_at = float("-inf")
 
     def has_to_wait(self, step: Step, now: float) -> bool:
         """Returns whether a task of a step was evicted a short time ago."""
@@ -87,8 +87,8 @@
         At most one task in `_WIDTH_PER_EVICTION`, and at least one, is away at
         a time: with more, some narrow steps might never run all their tasks.
         """
-        max_cpu = max(1, step.spec.width // _WIDTH_PER_EVICTION)
-        return step.waiting_count < max_cpu and may_take_away(step)
+        max_away = max(1, step.spec.width // _WIDTH_PER_EVICTION)
+        return step.waiting_count < max_away and may_take_away(step)
 
     def _is_restart_due(self, step: Step, now: float) -> bool:
         """Returns whether a task of a step has waited for `_MAX_AWAY`."""
@@ -136,8 +136,8 @@
             since = self._unplaced_since.setdefault(step, now)
             if now - since >= _EVICTION_DELAY:
                 waiting.extend(t for t in step.waiting() if t.not_before <= now)
-        if waiting and now - self._passed_at >= _EVICTION_INTERVAL:
-            self._passed_at = now
+        if waiting and now - self._last_pass_at >= _EVICTION_INTERVAL:
+            self._last_pass_at = now
             self._evict(waiting, workers, orders, reserve.share, now)
 
     def _evict(
--- a/pimentocross/owner/run_control.py
+++ b/pimentocross/owner/run_control.py
@@ -100,11 +100,11 @@
     ) -> None:
         for (task, _), run in list(worker.runs.items()):
             if run.state is RunState.RUNNING:
-                reason = self._why_stop(worker, task, run, now)
+                reason = self._stop_reason(worker, task, run, now)
                 if reason:
                     orders.stop(worker, task, run, reason)
 
-    def _why_stop(
+    def _stop_reason(
         self, worker: Worker, task: Task, run: Run, now: float
     ) -> str:
         if worker.life.draining and self._should_leave_draining(
