--- a/pimentocross/owner/late_starts.py
+++ b/pimentocross/owner/late_starts.py
@@ -118,7 +118,10 @@
                 return
         if life is not None and not life.born:
             return
-        left = min(left or const.ADOPTED_LATE_MOST, const.ADOPTED_LATE_MOST)
+        left = min(
+            left or const.ADOPTED_LATE_START_WINDOW,
+            const.ADOPTED_LATE_START_WINDOW,
+        )
         run.late_until = trio.current_time() + left
         run.starts_sent = 1
         if may_resend_start(
@@ -165,7 +168,7 @@
         """
         run.starts_sent += 1
         if life.born:
-            until = trio.current_time() + timeout + const.LATE_START_MOST
+            until = trio.current_time() + timeout + const.LATE_START_WINDOW
             run.late_until = max(run.late_until, until)
 
     def note_answered(self) -> None:
--- a/tests/test_field.py
+++ b/tests/test_field.py
@@ -15,8 +15,8 @@
 import trio
 
 from pimentocross.owner import placer, wall
-from pimentocross.owner.arranger import Arranger
 from pimentocross.owner.isolation import Isolation
+from pimentocross.owner.rebalancer import Rebalancer
 from pimentocross.owner.worker import Worker
 from pimentocross.placement import hosts
 from pimentocross.placement.disturbance import Disturbance, PairEstimate
@@ -219,12 +219,12 @@
         worker, learned = cell.workers[0], cell.learned
         for job in ("a", "b"):
             learned.quarantine.note_failed(worker.life.id, job, 0.0)
-        arranger = Arranger(learned)
+        rebalancer = Rebalancer(learned)
         advice = cell.dispatcher.advice
         lasting = StepSpec(2, Size(500, 500, 0), lasting=True)
         steps = [make_step(f"j{number}", lasting) for number in range(3)]
         placer_ = placer.Placer(
-            [worker], [worker], learned, arranger, advice, Isolation(), 4.0
+            [worker], [worker], learned, rebalancer, advice, Isolation(), 4.0
         )
         # The worker is excluded for all later steps, except for those that have
         # waited for long.
