--- a/bench/wire_parts.py
+++ b/bench/wire_parts.py
@@ -29,17 +29,17 @@
 from pimentocross.links.asgi import HttpReply, HttpRequest
 from pimentocross.links.listener import HttpListener, ListenerLimits
 from pimentocross.observe.lateness import LoopLateness
+from pimentocross.owner.call_timeouts import CallTimeouts
 from pimentocross.owner.crashes import Crashes
 from pimentocross.owner.doubts import Doubts
 from pimentocross.owner.former_leases import FormerLeases
 from pimentocross.owner.jobs import JobBook
-from pimentocross.owner.keeper import Keeper
+from pimentocross.owner.keeper import LeaseKeeper
 from pimentocross.owner.late_starts import LateStarts
 from pimentocross.owner.learned import Learned
 from pimentocross.owner.ledger import Ledger
 from pimentocross.owner.listing_pace import ListingPace
 from pimentocross.owner.parts import CellParts
-from pimentocross.owner.patience import CallPatience
 from pimentocross.owner.repeats import Repeats
 from pimentocross.owner.terms import OwnerTerms
 from pimentocross.owner.worker import Worker
@@ -154,7 +154,7 @@
     return CellParts(
         1,
         OwnerTerms(_LEASE),
-        CallPatience(lateness, _LEASE),
+        CallTimeouts(lateness, _LEASE),
         ListingPace(lateness, _LEASE, lambda: 1),
         book,
         ledger,
@@ -184,7 +184,7 @@
     parts = make_parts(book, ledger, learned.judge, learned.on_listed)
     began = time.thread_time()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(Keeper(worker, parts, _NoStops()).run)
+        nursery.start_soon(LeaseKeeper(worker, parts, _NoStops()).run)
         await link.done.wait()
         nursery.cancel_scope.cancel()
     return decoding, (time.thread_time() - began) / _CALLS * _MS
--- a/pimentocross/gateway/election.py
+++ b/pimentocross/gateway/election.py
@@ -87,7 +87,7 @@
         self._heard = heard
         self._time = OwnTime()
         self._formers = FormerOwners(
-            mine, cluster, self._time, platform.terms.loud_for
+            mine, cluster, self._time, platform.terms.unreleased_lease_most
         )
         self._patience = OwnerPatience(self._time)
         # Time since the owner here has written, if there is one.
@@ -272,7 +272,10 @@
     def _is_quiet(self) -> bool:
         """True if surely no owner of before renews leases any more."""
         owned_for = trio.current_time() - self._owned_since
-        return self._former_quiet or owned_for > self._platform.terms.loud_for
+        return (
+            self._former_quiet
+            or owned_for > self._platform.terms.unreleased_lease_most
+        )
 
     async def _watch(self, claim: OwnerClaim) -> None:
         """Keeps a link to another process that owns, until a newer claim."""
--- a/pimentocross/owner/__init__.py
+++ b/pimentocross/owner/__init__.py
@@ -1,1 +1,1 @@
-"""The owner of a cell's jobs: records them, starts them, notes their ends."""
+"""The owner of a cell's jobs: records and starts them and tracks their ends."""
--- a/pimentocross/owner/absent.py
+++ b/pimentocross/owner/absent.py
@@ -1,7 +1,7 @@
-"""Worker lives that runs were recorded on and that the directory doesn't list.
+"""Worker lives with recorded runs that the directory doesn't list.
 
-Nobody can ask them. What may run there is waited for until its lease has surely
-ended, or until another life is listed with its machine.
+Their address is unknown, so they can't be called. Their runs are kept until
+the lease has surely ended, or until another life of the same VM is listed.
 """
 
 from collections.abc import Collection, Iterator
@@ -10,7 +10,7 @@
 
 from pimentocross.contracts.worker_link import WorkerDialer, WorkerLife
 from pimentocross.observe.decisions import note
-from pimentocross.owner.endings import note_lost
+from pimentocross.owner.endings import log_lost_runs
 from pimentocross.owner.former_leases import FormerLeases
 from pimentocross.owner.late_starts import note_id_ended
 from pimentocross.owner.life_numbers import LifeNumbers
@@ -21,7 +21,7 @@
 
 
 class AbsentWorkers:
-    """Those lives, by number."""
+    """The unlisted worker lives that may still run something."""
 
     def __init__(
         self,
@@ -29,18 +29,24 @@
         dialer: WorkerDialer,
         former_leases: FormerLeases,
     ) -> None:
-        """Takes whose lives they are and what bounds leases there."""
+        """Initializes an empty set.
+
+        Args:
+            numbers: Tells which life has a number.
+            dialer: Makes links to workers.
+            former_leases: Bounds the leases that former owners granted.
+        """
         self._numbers = numbers
         self._dialer = dialer
         self._former_leases = former_leases
         self._by_number: dict[int, Worker] = {}
 
     def __iter__(self) -> Iterator[Worker]:
-        """Yields them; some may be taken out meanwhile."""
+        """Yields the lives; some may be removed meanwhile."""
         yield from list(self._by_number.values())
 
     def add(self, number: int) -> Worker:
-        """Takes in the life of a number."""
+        """Adds the life with a number."""
         known = self._numbers.find(number)
         life = WorkerLife(
             id=known.id,
@@ -55,35 +61,35 @@
             born=known.born,
         )
         worker = Worker(life, number, self._dialer.link(life))
-        worker.blind_until = self._former_leases.until(number)
+        worker.former_leases_until = self._former_leases.until(number)
         worker.barred = True
         self._by_number[number] = worker
         note("worker_absent", worker=known.id, number=number)
         return worker
 
-    def take_out(self, number: int) -> Worker | None:
-        """Takes out the life of a number, if it is one of them."""
+    def remove(self, number: int) -> Worker | None:
+        """Removes and returns the life with a number, if it is here."""
         return self._by_number.pop(number, None)
 
-    def bury(self, machines: Collection[str], parts: CellParts) -> None:
-        """Gives those up on which nothing can run any more.
+    def end_lives(self, machines: Collection[str], parts: CellParts) -> None:
+        """Drops the lives on which nothing can run any more, with their runs.
 
         Args:
-            machines: Those of which a life is listed.
-            parts: What the owner's parts share.
+            machines: VMs of which a life is listed.
+            parts: State shared by the owner's parts.
         """
         now = trio.current_time()
         for worker in self:
             replaced = bool(worker.life.machine) and (
                 worker.life.machine in machines
             )
-            if now > worker.blind_until or replaced:
-                self._bury(worker, parts, replaced=replaced)
+            if now > worker.former_leases_until or replaced:
+                self._end_life(worker, parts, replaced=replaced)
 
-    def note_waits(self) -> None:
-        """Logs the tasks that wait for them, and for how long."""
+    def log_waits(self) -> None:
+        """Logs the tasks that wait for leases to end, and for how long."""
         for worker in self:
-            left = worker.blind_until - trio.current_time()
+            left = worker.former_leases_until - trio.current_time()
             for task, run in worker.runs:
                 note(
                     "run_waits",
@@ -93,7 +99,7 @@
                     seconds=round(left, 3),
                 )
 
-    def _bury(
+    def _end_life(
         self, worker: Worker, parts: CellParts, *, replaced: bool
     ) -> None:
         del self._by_number[worker.number]
@@ -103,7 +109,7 @@
             parts.crashes.note_replaced(worker)
         else:
             parts.crashes.note_absent(worker)
-        note_lost(worker, "never listed")
+        log_lost_runs(worker, "never listed")
         jobs: dict[Job, None] = {}
         for task, run in list(worker.runs):
             parts.late_starts.drop(task, run, worker)
--- a/pimentocross/owner/backlog.py
+++ b/pimentocross/owner/backlog.py
@@ -324,5 +324,6 @@
 def _reserved_briefly(worker: Worker) -> int:
     """Returns what neither lasts nor fills has there, thousandths."""
     return sum(
-        count * step.spec.size.cpu for step, count in worker.brief().items()
+        count * step.spec.size.cpu
+        for step, count in worker.short_run_counts().items()
     )
--- a/pimentocross/owner/care.py
+++ b/pimentocross/owner/care.py
@@ -9,7 +9,7 @@
 from pimentocross.owner.learned import Learned
 from pimentocross.owner.orders import Orders
 from pimentocross.owner.roster import Roster
-from pimentocross.owner.worker import AT_WORK, Worker
+from pimentocross.owner.worker import AT_WORK_PERCENT, Worker
 from pimentocross.placement.hosts import HARM_MOST
 from pimentocross.placement.pacing import (
     MOVE_BELOW,
@@ -109,7 +109,7 @@
         ):
             task.failed_on.add(worker.number)
             return "the worker is unsound"
-        if worker.reached and is_stalled(task, run, worker.heard_at):
+        if worker.reachable and is_stalled(task, run, worker.last_reply_at):
             self._learned.hold_against(worker, task)
             task.failed_on.add(worker.number)
             return "no progress"
@@ -119,7 +119,7 @@
         """True if a run on an unsound worker should go elsewhere."""
         spec = task.step.spec
         if spec.lasting:
-            return run.percent >= AT_WORK and may_take_away(task.step)
+            return run.percent >= AT_WORK_PERCENT and may_take_away(task.step)
         for measured in self._learned.progress(worker):
             if measured.run is run:
                 progress = measured.progress
@@ -141,7 +141,9 @@
 
     def _pace_fillers(self, worker: Worker, orders: Orders, now: float) -> None:
         settled = now - worker.paced_at >= SETTLE
-        if worker.filled and (settled or worker.over_for(now) >= OVER_MOST):
+        if worker.filled and (
+            settled or worker.seconds_over_target(now) >= OVER_MOST
+        ):
             self._pace_on(worker, orders, now)
 
     def _must_leave(self, worker: Worker, task: Task, run: Run) -> bool:
--- a/pimentocross/owner/crashes.py
+++ b/pimentocross/owner/crashes.py
@@ -114,7 +114,7 @@
         """Records what may have crashed a worker that has fallen silent."""
         # One that drains is expected to leave; what ran on one that was never
         # heard is for a former owner to tell.
-        if worker.life.draining or worker.heard_at == float("-inf"):
+        if worker.life.draining or worker.last_reply_at == float("-inf"):
             return
         rows = [
             DoubtRow(
@@ -275,7 +275,7 @@
             return True
         return any(
             other.life.rack == rack
-            and not other.reached
+            and not other.reachable
             and not other.gone
             and other.was_up
             and other is not worker
@@ -338,7 +338,7 @@
 
 def _gone_at(worker: Worker) -> float:
     """Returns when a worker that has ended went at the latest, monotonic."""
-    return trio.current_time() if worker.reached else worker.silent_at
+    return trio.current_time() if worker.reachable else worker.silent_since
 
 
 def _is_unheard(run: Run) -> bool:
--- a/pimentocross/owner/dispatcher.py
+++ b/pimentocross/owner/dispatcher.py
@@ -276,7 +276,7 @@
                 self._roster.closed_capacity(),
                 steps,
                 self._room,
-                (task.step for task, _ in self._roster.runs_away()),
+                (task.step for task, _ in self._roster.unreachable_runs()),
                 now,
             )
 
--- a/pimentocross/owner/endings.py
+++ b/pimentocross/owner/endings.py
@@ -1,4 +1,4 @@
-"""What the end of a run means for its task."""
+"""Applies the endings of runs to their tasks."""
 
 from pimentocross.contracts.worker_link import Ending, EndKind
 from pimentocross.observe.decisions import note
@@ -7,7 +7,11 @@
 
 
 def drop_run(task: Task, number: int, worker: Worker) -> Run | None:
-    """Forgets a run that surely isn't on a worker any more."""
+    """Removes a run that surely is not on a worker any more.
+
+    Returns:
+        The run, or None if its task doesn't have it on this worker.
+    """
     worker.remove(task, number)
     run = task.runs.get(number)
     if run is None or run.worker != worker.number:
@@ -15,8 +19,8 @@
     return task.drop_run(number)
 
 
-def note_lost(worker: Worker, reason: str) -> None:
-    """Logs the runs on a worker that are given up, and how long each lived."""
+def log_lost_runs(worker: Worker, reason: str) -> None:
+    """Logs the runs on a worker that are given up and how long each lived."""
     life = worker.life.id
     note("runs_lost", worker=life, count=len(worker.runs), reason=reason)
     for (task, number), run in worker.runs.items():
@@ -31,14 +35,18 @@
 
 
 def apply_ending(task: Task, ending: Ending, worker: Worker) -> Run | None:
-    """Brings a task to where a listed ending leaves it; returns the run."""
+    """Applies a listed ending to its task.
+
+    Returns:
+        The run that ended, or None if it was not known any more.
+    """
     newest = ending.run >= task.last_run
     task.note_begun()
     run = drop_run(task, ending.run, worker)
     if ending.checkpoint and newest and not task.done:
-        _keep_checkpoint(task, ending.checkpoint)
+        _set_checkpoint(task, ending.checkpoint)
     if ending.how is EndKind.DONE and not task.step.spec.lasting:
-        _finish(task)
+        _finish_task(task)
     elif ending.how is EndKind.FAILED:
         _count_failure(task, run, worker)
     note(
@@ -55,12 +63,12 @@
 def _count_failure(task: Task, run: Run | None, worker: Worker) -> None:
     """Counts a failed run, once.
 
-    What lasts has any number of attempts; it goes elsewhere all the same, as a
-    worker that fails all would get it again and again.
+    A lasting task has unlimited attempts. It still avoids the workers that it
+    failed on, as a worker that fails everything would get it again and again.
 
-    A run that isn't known any more was counted when its ending was recorded,
-    maybe by a former owner that did not come to take note of it; or it was
-    given up since its lease had lapsed, which voids the ending.
+    A run that is not known any more was counted when its ending was recorded,
+    maybe by a former owner that ended before it acknowledged the ending. Or it
+    was given up because its lease had lapsed, which voids the ending.
     """
     if run is None:
         return
@@ -69,16 +77,16 @@
         task.failures += 1
 
 
-def _finish(task: Task) -> None:
+def _finish_task(task: Task) -> None:
     if task.step.spec.gang:
-        # The members of a gang end together; one ending stands for all.
+        # The members of a gang end together: one ending applies to all.
         for member in task.step.tasks:
             member.finish()
     else:
         task.finish()
 
 
-def _keep_checkpoint(task: Task, checkpoint: str) -> None:
+def _set_checkpoint(task: Task, checkpoint: str) -> None:
     if task.step.spec.gang:
         for member in task.step.tasks:
             member.checkpoint = checkpoint
--- a/pimentocross/owner/former_leases.py
+++ b/pimentocross/owner/former_leases.py
@@ -144,13 +144,13 @@
         """
         if not worker.barred:
             worker.barred = True
-            worker.cleared = trio.Event()
+            worker.unbar_recorded = trio.Event()
             self.record()
 
     def clear(self, worker: Worker) -> None:
         """Lets a worker be used again once the record doesn't bar it."""
         worker.barred = False
-        worker.cleared = self.record()
+        worker.unbar_recorded = self.record()
 
     def record(self) -> trio.Event:
         """Has the record written; returns what is set once it is stored."""
@@ -167,7 +167,11 @@
 
     def _lasts(self, ended: bool) -> float:
         """Returns for how many seconds leases of a former owner may last."""
-        return self._terms.lease_most if ended else self._terms.loud_for
+        return (
+            self._terms.lease_most
+            if ended
+            else self._terms.unreleased_lease_most
+        )
 
     def _encode(self) -> bytes:
         rows = list(self._list_rows())
--- a/pimentocross/owner/keeper.py
+++ b/pimentocross/owner/keeper.py
@@ -1,4 +1,4 @@
-"""Keeps the lease of one worker and takes in what it lists."""
+"""Renews the leases on one worker and processes what it lists."""
 
 from typing import Final
 
@@ -16,32 +16,40 @@
 from pimentocross.observe import meters
 from pimentocross.observe.decisions import note
 from pimentocross.owner import const
-from pimentocross.owner.endings import apply_ending, note_lost
+from pimentocross.owner.endings import apply_ending, log_lost_runs
 from pimentocross.owner.late_starts import may_be_repeated, note_id_ended
 from pimentocross.owner.ledger import Batch
 from pimentocross.owner.parts import CellParts, Stops
 from pimentocross.owner.worker import Worker
 from pimentocross.work.state import TERMINAL, Job, Run, RunState, Task
 
-# Ends to which a run comes by itself: its task doesn't crash what starts it.
-_PROVE_HARMLESS: Final = frozenset({EndKind.DONE, EndKind.FAILED})
+# Endings that a run reaches by itself: its task did not crash the worker.
+_NORMAL_ENDINGS: Final = frozenset({EndKind.DONE, EndKind.FAILED})
 
 
-class Keeper:
-    """Holds one worker until its life has ended."""
+class LeaseKeeper:
+    """Renews leases on one worker life and lists its runs until it ends."""
 
     def __init__(self, worker: Worker, parts: CellParts, stops: Stops) -> None:
-        """Takes the worker, what the parts share, and who stops runs."""
+        """Initializes the keeper of a worker.
+
+        Args:
+            worker: The worker life.
+            parts: State shared by the owner's parts.
+            stops: Stops runs.
+        """
         self._worker = worker
         self._parts = parts
         self._stops = stops
-        self._applied = 0
-        self._unrecorded = False
-        # Whether the last call failed and that was our own lateness.
-        self._excused = False
+        # Number of the newest ending that was applied to its task.
+        self._applied_ending = 0
+        # Whether the newest endings were not stored within `const.NOTE_WAIT`.
+        self._endings_unrecorded = False
+        # Whether the last call failed because this process was late.
+        self._failed_by_own_lateness = False
 
     async def run(self) -> None:
-        """Holds until the life has ended.
+        """Calls the worker in a loop until its life has ended.
 
         Raises:
             WorkerFencedError: Another owner has taken over.
@@ -49,54 +57,58 @@
         worker = self._worker
         while not worker.gone:
             sent_at = trio.current_time()
-            wait = self._wait(sent_at)
+            wait = self._reply_wait(sent_at)
             timeout = self._timeout(wait, sent_at)
             meters.add(meters.HOLDS)
             try:
-                reply = await self._hold(sent_at, wait, timeout)
+                reply = await self._request_listing(sent_at, wait, timeout)
             except WorkerUnreachableError as error:
-                worker.doubtful = True
-                self._excused = self._is_excused(sent_at, wait, timeout)
-                if self._excused:
-                    # Its lease goes on: it is asked again at once.
+                worker.maybe_replaced = True
+                self._failed_by_own_lateness = self._is_own_lateness(
+                    sent_at, wait, timeout
+                )
+                if self._failed_by_own_lateness:
+                    # The lease continues: the worker is called again at once.
                     note("listing_late", worker=worker.life.id)
                     continue
-                self._on_silence(str(error))
+                self._on_no_reply(str(error))
                 await trio.sleep(self._retry_pause())
                 continue
             except WorkerFencedError:
-                # As `Worker.calling`, which would cost each listing.
+                # As in `Worker.calling`, which would cost time per listing.
                 if not worker.gone:
                     raise
                 break
             except WorkerReplacedError:
-                self.bury("another life answers at its address", replaced=True)
+                self.end_life(
+                    "another life answers at its address", replaced=True
+                )
                 break
             if reply.born and reply.born != worker.life.born:
                 if worker.life.is_after(reply.born):
-                    # It was on its way while the worker started again.
+                    # The former life sent this reply before the restart.
                     await trio.sleep(const.HOLD_RETRY_PAUSE)
                     continue
                 self._parts.lives.note_born(worker, reply.born)
                 if worker.gone:
                     break
-            self._on_heard(reply, sent_at)
-            batch = self._take_in(reply, sent_at)
-            self._parts.pace.note(trio.current_time() - worker.heard_at)
+            self._on_reply(reply, sent_at)
+            batch = self._process_reply(reply, sent_at)
+            self._parts.pace.note(trio.current_time() - worker.last_reply_at)
             if reply.endings:
                 await self._note_endings(reply.endings[-1].number, batch)
-            if worker.cleared is not None:
-                # Its lease is renewed with the next call, which comes at once.
+            if worker.unbar_recorded is not None:
+                # The next call follows at once and renews the lease.
                 with trio.move_on_after(const.NOTE_WAIT):
-                    await worker.cleared.wait()
-                    worker.cleared = None
+                    await worker.unbar_recorded.wait()
+                    worker.unbar_recorded = None
 
-    def bury(self, reason: str, *, replaced: bool) -> None:
-        """Notes that the life has ended, and all that ran on it.
+    def end_life(self, reason: str, *, replaced: bool) -> None:
+        """Ends the life and drops all runs on it.
 
         Args:
             reason: For the log.
-            replaced: Whether its machine is known to have another life.
+            replaced: Whether another life of its VM is known.
         """
         worker = self._worker
         if worker.gone:
@@ -108,17 +120,20 @@
             self._parts.crashes.note_replaced(worker)
         else:
             self._parts.crashes.note_absent(worker)
-        self._drop_all(reason)
+        self._drop_all_runs(reason)
         if replaced:
             self._parts.lives.note_replaced(worker)
 
-    def hand_over(self, reason: str) -> list[tuple[Task, Run]]:
-        """Buries the life, as the next one of its id answers in its place.
+    def end_for_next_life(self, reason: str) -> list[tuple[Task, Run]]:
+        """Ends the life, as the next life of its id answers in its place.
+
+        Args:
+            reason: For the log.
 
         Returns:
-            Runs that may begin on the next life: those whose start was sent and
-            that this life never listed, or of which another start is still
-            under way.
+            Runs that may begin on the next life: their start was sent, and
+            either this life never listed them or another start is still in
+            transit.
         """
         worker = self._worker
         if worker.gone:
@@ -134,116 +149,135 @@
         ]
         for task, run in unsure:
             worker.remove(task, run.number)
-        self._drop_all(reason)
+        self._drop_all_runs(reason)
         return unsure
 
-    async def _hold(self, now: float, wait: float, timeout: float) -> HoldReply:
+    async def _request_listing(
+        self, now: float, wait: float, timeout: float
+    ) -> HoldReply:
         worker = self._worker
-        deadline = self._next_deadline(now)
+        deadline = self._next_lease_deadline(now)
         if deadline is not None:
             worker.lease_end = max(worker.lease_end or 0.0, deadline)
-        # The ends of another life must not be forgotten unread.
-        seen = 0 if worker.doubtful else worker.seen
+        # If the next life answers, it must not drop endings that nobody read.
+        last_seen = 0 if worker.maybe_replaced else worker.newest_stored_ending
         token = self._parts.token_for(worker)
-        return await worker.link.hold(token, seen, deadline, wait, timeout)
+        return await worker.link.hold(token, last_seen, deadline, wait, timeout)
 
     def _timeout(self, wait: float, now: float) -> float:
         """Returns the timeout of a listing."""
         timeout = self._parts.patience.for_hold(wait, now)
         left = self._worker.lapses_at - now
-        if self._worker.reached or left <= 0:
+        if self._worker.reachable or left <= 0:
             return timeout
-        # What ran on a silent worker is given up as soon as it may be.
+        # Runs on an unreachable worker are given up as soon as leases ended.
         return min(timeout, max(left, wait + const.HOLD_SLACK))
 
-    def _is_excused(self, sent_at: float, wait: float, timeout: float) -> bool:
-        """True if a call of a worker in use failed by our own lateness."""
+    def _is_own_lateness(
+        self, sent_at: float, wait: float, timeout: float
+    ) -> bool:
+        """True if a call to a worker in use failed as this process was late."""
         worker = self._worker
-        if not worker.reached or not worker.adopted:
+        if not worker.reachable or not worker.adopted:
             return False
         patience = self._parts.patience
-        return patience.excuses(sent_at, wait, timeout, worker.heard_at)
+        return patience.is_own_lateness(
+            sent_at, wait, timeout, worker.last_reply_at
+        )
 
     def _retry_pause(self) -> float:
         worker, now = self._worker, trio.current_time()
         if now > worker.late_until:
             return const.HOLD_RETRY_PAUSE
-        if now - worker.silent_at > const.HOLD_RETRY_QUICK_FOR:
+        if now - worker.silent_since > const.HOLD_RETRY_QUICK_FOR:
             return const.HOLD_RETRY_PAUSE
         return const.HOLD_RETRY_QUICK
 
-    def _next_deadline(self, now: float) -> float | None:
-        """Returns to when the lease is extended, or None to let it be."""
+    def _next_lease_deadline(self, now: float) -> float | None:
+        """Returns the next lease deadline, or None to leave the lease as it is.
+
+        The deadline is a reading of the worker's clock.
+        """
         worker = self._worker
-        if not worker.reached or not worker.adopted:
-            # What can't be heard is left to lapse.
+        if not worker.reachable or not worker.adopted:
+            # Leases on a worker that doesn't answer are left to lapse.
             return None
-        if worker.cleared is not None:
+        if worker.unbar_recorded is not None:
             return None
         if now - self._parts.ledger.stored_at > const.RENEWALS_WITHOUT_STORE:
             return None
         return worker.clock.after(self._parts.terms.lease, now)
 
-    def _wait(self, now: float) -> float:
+    def _reply_wait(self, now: float) -> float:
         worker = self._worker
-        if not worker.adopted or not worker.reached or worker.doubtful:
+        if not worker.adopted or not worker.reachable or worker.maybe_replaced:
             return 0.0
-        if self._unrecorded or self._excused or worker.cleared is not None:
+        if (
+            self._endings_unrecorded
+            or self._failed_by_own_lateness
+            or worker.unbar_recorded is not None
+        ):
             return 0.0
         if not worker.serves:
             return self._parts.pace.wait(now, serving=False)
         wait = self._parts.pace.wait(now, serving=worker.filled > 0)
-        # A filler that comes meanwhile is first read at the next listing, and
-        # what it disturbs must not be over its target for four seconds.
+        # The figures of a filler that starts meanwhile are first read with the
+        # next listing, and serving tasks that it disturbs must not be over
+        # their target for four seconds.
         return min(wait, const.HOLD_WAIT)
 
-    def _on_silence(self, reason: str) -> None:
+    def _on_no_reply(self, reason: str) -> None:
         worker = self._worker
         meters.add_unanswered("hold")
-        if worker.reached:
+        if worker.reachable:
             note("worker_silent", worker=worker.life.id, reason=reason)
-            worker.reached = False
-            worker.silent_at = trio.current_time()
+            worker.reachable = False
+            worker.silent_since = trio.current_time()
             self._parts.crashes.note_silent(worker)
         if worker.lapsed(trio.current_time()):
             if worker.listed:
                 self._parts.crashes.note_lapsed(worker)
-                self._drop_all("its lease has lapsed")
+                self._drop_all_runs("its lease has lapsed")
             else:
                 reason = "its lease has lapsed and it isn't listed"
-                self.bury(reason, replaced=False)
+                self.end_life(reason, replaced=False)
 
-    def _on_heard(self, reply: HoldReply, sent_at: float) -> None:
+    def _on_reply(self, reply: HoldReply, sent_at: float) -> None:
         worker = self._worker
         now = trio.current_time()
         if worker.clock.is_behind(reply.clock):
             note("worker_clock_back", worker=worker.life.id, clock=reply.clock)
         worker.clock.note(reply.clock, now)
-        worker.heard_at = now
-        self._excused = worker.doubtful = False
-        if not worker.reached:
+        worker.last_reply_at = now
+        self._failed_by_own_lateness = worker.maybe_replaced = False
+        if not worker.reachable:
             note("worker_heard", worker=worker.life.id)
-            worker.reached = True
+            worker.reachable = True
             self._parts.crashes.note_heard(worker)
         elif not worker.adopted:
             self._parts.crashes.note_heard(worker)
         if worker.barred:
             self._parts.former_leases.clear(worker)
         if worker.lease_end is None:
-            # A former owner is fenced from now on; this is the most that it
-            # may have granted. A deadline on the clock of a former life lies
-            # far ahead, and is cut to the longest lease that there is.
+            # A former owner is fenced from now on; this is the latest lease
+            # end that it may have set. A deadline meant for the clock of a
+            # former life lies far ahead, and the worker cuts it to the longest
+            # lease that it grants.
             terms = self._parts.terms
-            lease = terms.granted_most if worker.follows else terms.lease
+            lease = (
+                terms.granted_most
+                if worker.may_get_former_orders
+                else terms.lease
+            )
             worker.lease_end = worker.clock.after(lease, now)
 
-    def _take_in(self, reply: HoldReply, sent_at: float) -> Batch | None:
-        """Takes a listing in; returns the batch of what it changed."""
+    def _process_reply(self, reply: HoldReply, sent_at: float) -> Batch | None:
+        """Applies a listing; returns the batch of the records it changed."""
         changed: dict[Job, None] = {}
-        found = self._take_running(reply.running, changed)
-        self._take_endings(reply.endings, changed)
+        found = self._process_running(reply.running, changed)
+        self._process_endings(reply.endings, changed)
         if len(reply.endings) < const.ENDINGS_PAGE:
-            self._settle_missing(found, sent_at, changed)
+            self._reconcile_missing(found, sent_at, changed)
         self._parts.listed(self._worker)
         if self._worker.suspects:
             isolating = self._worker.is_isolating
@@ -259,10 +293,10 @@
             self._parts.wake()
         return batch
 
-    def _take_running(
+    def _process_running(
         self, listed: list[Listed], changed: dict[Job, None]
     ) -> set[tuple[Task, int]]:
-        now = self._worker.heard_at
+        now = self._worker.last_reply_at
         runs = self._worker.runs
         find_task = self._parts.book.find_task
         found = set()
@@ -274,7 +308,7 @@
             key = (task, entry.run)
             run = runs.get(key)
             if run is None:
-                run = self._take_unexpected(task, entry.run)
+                run = self._adopt_unexpected(task, entry.run)
                 changed[task.step.job] = None
             found.add(key)
             if (
@@ -283,15 +317,15 @@
                 or run.state is not RunState.RUNNING
                 or not run.began_at
             ):
-                _update(task, run, entry, now)
+                _update_run(task, run, entry, now)
             if entry.checkpoint and entry.run == task.last_run:
                 task.checkpoint = entry.checkpoint
             if task.done or task.step.job.state in TERMINAL:
                 self._stops.stop(self._worker, task, run, "not needed")
         return found
 
-    def _take_unexpected(self, task: Task, number: int) -> Run:
-        """Takes in a run that is listed though it was not expected there."""
+    def _adopt_unexpected(self, task: Task, number: int) -> Run:
+        """Adds a run that is listed but was not expected on this worker."""
         worker = self._worker
         held = self._parts.late_starts.take_held(task, number, worker)
         if held is not None:
@@ -313,20 +347,20 @@
             self._stops.stop(worker, task, run, "not expected there")
         return run
 
-    def _take_endings(
+    def _process_endings(
         self, endings: list[Ending], changed: dict[Job, None]
     ) -> None:
-        if endings and endings[0].number <= self._applied - len(endings):
+        if endings and endings[0].number <= self._applied_ending - len(endings):
             note(
                 "endings_passed_over",
                 worker=self._worker.life.id,
                 first=endings[0].number,
-                applied=self._applied,
+                applied=self._applied_ending,
             )
         for ending in endings:
-            if ending.number <= self._applied:
+            if ending.number <= self._applied_ending:
                 continue
-            self._applied = ending.number
+            self._applied_ending = ending.number
             task = self._parts.book.find_task(ending.task)
             if task is None:
                 continue
@@ -336,27 +370,28 @@
                 run.note_start_settled()
                 self._parts.late_starts.hold(task, run)
             self._parts.judge(self._worker, task, run, ending)
-            if ending.how in _PROVE_HARMLESS:
+            if ending.how in _NORMAL_ENDINGS:
                 self._parts.crashes.note_ended(task, run)
             changed[task.step.job] = None
 
-    def _settle_missing(
+    def _reconcile_missing(
         self,
         found: set[tuple[Task, int]],
         sent_at: float,
         changed: dict[Job, None],
     ) -> None:
-        """Settles runs that should be there, or may be, and aren't listed."""
+        """Handles runs that may be on the worker and are not listed."""
         for key, run in list(self._worker.runs.items()):
             if key in found or run.state_at >= sent_at:
                 continue
             task, number = key
-            if self._may_repeat(task, run):
-                # Nothing is started before a first listing was taken in.
+            if self._may_resend_start(task, run):
+                # Nothing is started before the first listing was processed.
                 if self._worker.adopted:
                     self._stops.start_again(self._worker, task, run)
             elif run.state in (RunState.RUNNING, RunState.UNSURE):
-                # It may begin yet: once its stop is answered, this life won't.
+                # It may still begin. This life won't start it any more once
+                # it has answered the stop.
                 self._stops.stop(self._worker, task, run, "not listed")
             elif (
                 run.state is RunState.STOPPING and 0 < run.stopped_at < sent_at
@@ -364,14 +399,15 @@
                 self._parts.late_starts.drop(task, number, self._worker)
                 changed[task.step.job] = None
 
-    def _may_repeat(self, task: Task, run: Run) -> bool:
-        """True if an unanswered start is repeated where it was sent."""
+    def _may_resend_start(self, task: Task, run: Run) -> bool:
+        """True if an unanswered start may be sent again to this worker."""
         return (
             run.state is RunState.UNSURE
             and run.may_come_late(trio.current_time())
             and may_be_repeated(task)
-            # It may have crashed the former life, which would count once only.
-            and not self._worker.follows
+            # It may have crashed the former life: a second crash by a resent
+            # start would not be counted.
+            and not self._worker.may_get_former_orders
             and (
                 not self._worker.adopted
                 or self._parts.may_start_on(self._worker)
@@ -379,23 +415,26 @@
         )
 
     async def _note_endings(self, newest: int, batch: Batch | None) -> None:
-        """Waits until endings are recorded; only then they're taken note of."""
+        """Waits until endings are stored; only then they are acknowledged."""
         if batch is None:
-            # All were known: those of an earlier listing, or of no known job.
+            # Nothing changed: all endings were applied before, or are of
+            # unknown jobs.
             batch = self._parts.ledger.barrier()
         with trio.move_on_after(const.NOTE_WAIT):
             await batch.stored.wait()
-        self._unrecorded = not batch.stored.is_set()
-        if not self._unrecorded:
-            self._worker.seen = max(self._worker.seen, newest)
+        self._endings_unrecorded = not batch.stored.is_set()
+        if not self._endings_unrecorded:
+            self._worker.newest_stored_ending = max(
+                self._worker.newest_stored_ending, newest
+            )
 
-    def _drop_all(self, reason: str) -> None:
+    def _drop_all_runs(self, reason: str) -> None:
         worker = self._worker
         worker.adopted = False
         worker.lease_end = 0.0
         if not worker.runs:
             return
-        note_lost(worker, reason)
+        log_lost_runs(worker, reason)
         jobs: dict[Job, None] = {}
         for task, number in list(worker.runs):
             self._parts.late_starts.drop(task, number, worker)
@@ -405,7 +444,7 @@
         self._parts.wake()
 
 
-def _update(task: Task, run: Run, entry: Listed, now: float) -> None:
+def _update_run(task: Task, run: Run, entry: Listed, now: float) -> None:
     if run.state is RunState.SENT or run.state is RunState.UNSURE:
         run.enter(RunState.RUNNING, now)
         run.note_start_settled()
--- a/pimentocross/owner/learned.py
+++ b/pimentocross/owner/learned.py
@@ -129,7 +129,7 @@
     def on_listed(self, worker: Worker) -> None:
         """Learns from the figures of a listing that was just heard."""
         worker.version += 1
-        now = worker.heard_at
+        now = worker.last_reply_at
         loads = worker.filler_loads()
         readings = worker.readings(now)
         self._check_soundness(worker, readings, loads, now)
--- a/pimentocross/owner/life_numbers.py
+++ b/pimentocross/owner/life_numbers.py
@@ -1,4 +1,4 @@
-"""Numbers of worker lives, by which records name them."""
+"""Numbers that identify worker lives in stored records."""
 
 from collections.abc import Callable
 from typing import Final, NamedTuple
@@ -10,12 +10,12 @@
 
 
 class KnownLife(NamedTuple):
-    """A life that has a number.
+    """A worker life that has a number.
 
     Attributes:
-        id: Its id.
-        machine: The machine that it is a life of.
-        born: As in `WorkerLife`; 0 if it isn't known.
+        id: Its worker id.
+        machine: The id of its VM.
+        born: When it started, as in `WorkerLife`; 0 if unknown.
     """
 
     id: str
@@ -27,49 +27,49 @@
 
 
 class LifeNumbers:
-    """Gives each life a number of its own, which is in the store."""
+    """Assigns a unique number to each worker life and records it."""
 
     def __init__(self, ledger: Ledger) -> None:
-        """Starts empty; takes where numbers are recorded."""
+        """Initializes an empty mapping that is recorded in the ledger."""
         self._ledger = ledger
-        self._known: dict[int, KnownLife] = {}
-        self._next = 0
-        # Numbers that no former owner has given.
-        self._given: set[int] = set()
+        self._known_lives: dict[int, KnownLife] = {}
+        self._next_number = 0
+        # Numbers that this owner has assigned.
+        self._given_here: set[int] = set()
 
     def restore(self, number: int, record: WorkerRecord) -> None:
-        """Takes in a number that is in the store."""
+        """Restores a life's number from its stored record."""
         born = self.find(number).born
-        self._known[number] = KnownLife(record.life, record.machine, born)
-        self._next = max(self._next, number + 1)
+        self._known_lives[number] = KnownLife(record.life, record.machine, born)
+        self._next_number = max(self._next_number, number + 1)
 
     def restore_born(self, number: int, born: int) -> None:
-        """Takes in when the life of a number started."""
-        self._known[number] = self.find(number)._replace(born=born)
+        """Restores the birth time of the life with a number."""
+        self._known_lives[number] = self.find(number)._replace(born=born)
 
     def is_known(self, number: int) -> bool:
-        """True unless the life of a number has ended for a former owner."""
-        return number in self._known
+        """True unless the life of a number has ended and was removed."""
+        return number in self._known_lives
 
     def is_inherited(self, number: int) -> bool:
-        """True if a former owner has given a number."""
-        return number not in self._given
+        """True if a former owner has assigned a number."""
+        return number not in self._given_here
 
     def find(self, number: int) -> KnownLife:
-        """Returns the life of a number, one without an id if it has none."""
-        return self._known.get(number, _UNKNOWN)
+        """Returns the life of a number, or one with an empty id if unknown."""
+        return self._known_lives.get(number, _UNKNOWN)
 
     def number_of(self, life: WorkerLife) -> int:
-        """Returns a life's number, a new one if it has none."""
-        for number, known in self._known.items():
+        """Returns the number of a life, and assigns one if it has none."""
+        for number, known in self._known_lives.items():
             if known.id == life.id and known.born in (0, life.born):
                 self.note_born(number, life.born)
                 return number
-        number = self._next
-        self._next += 1
-        self._given.add(number)
-        self._known[number] = KnownLife(life.id, life.machine, 0)
-        self._put(
+        number = self._next_number
+        self._next_number += 1
+        self._given_here.add(number)
+        self._known_lives[number] = KnownLife(life.id, life.machine, 0)
+        self._put_record(
             records.WORKER,
             number,
             lambda: records.encode_worker(life.id, life.machine),
@@ -78,30 +78,32 @@
         return number
 
     def note_born(self, number: int, born: int) -> None:
-        """Records when the life of a number started."""
-        known = self._known.get(number)
+        """Records the birth time of the life with a number."""
+        known = self._known_lives.get(number)
         if known is None:
-            # It has ended, and its entry changes.
+            # The life has ended, and its directory entry is still changing.
             return
         if born and known.born != born:
-            self._known[number] = known._replace(born=born)
-            self._put(records.BORN, number, lambda: records.encode_born(born))
+            self._known_lives[number] = known._replace(born=born)
+            self._put_record(
+                records.BORN, number, lambda: records.encode_born(born)
+            )
 
     def forget(self, number: int) -> None:
-        """Drops the number of a life that has ended."""
-        known = self._known.pop(number, None)
-        self._given.discard(number)
+        """Removes the number of a life that has ended."""
+        known = self._known_lives.pop(number, None)
+        self._given_here.discard(number)
         if known is None:
             return
-        self._put(records.WORKER, number, _nothing)
+        self._put_record(records.WORKER, number, _encode_removal)
         if known.born:
-            self._put(records.BORN, number, _nothing)
+            self._put_record(records.BORN, number, _encode_removal)
 
-    def _put(
+    def _put_record(
         self, kind: str, number: int, encode: Callable[[], bytes | None]
     ) -> None:
         self._ledger.put(PlainRecord(kind + str(number), encode))
 
 
-def _nothing() -> None:
-    """Returns what removes a key."""
+def _encode_removal() -> None:
+    """Encodes the removal of a key."""
--- a/pimentocross/owner/listing_pace.py
+++ b/pimentocross/owner/listing_pace.py
@@ -1,9 +1,10 @@
-"""How often workers are asked what runs there.
+"""How often workers are asked to list their runs.
 
-Load pattern: hundreds of workers and a slow VM, so that listings at their usual
-interval would take most of the owner's thread. What taking one in costs is
-measured, and they come as often as a share of the thread allows: soon enough
-for leases and for the figures by which tasks that fill are slowed.
+Load pattern: with hundreds of workers and a slow VM, listings at their usual
+interval would take most of the owner's thread. So the cost of processing one is
+measured, and their rate is limited to a share of the thread. They stay frequent
+enough to renew leases and to read the figures by which filling tasks are
+slowed.
 """
 
 from collections.abc import Callable
@@ -12,18 +13,19 @@
 from pimentocross.observe.lateness import LoopLateness
 from pimentocross.owner import const
 
-# Share of the thread that listings may take.
-_SHARE: Final = 0.25
-# A whole call costs the owner this many times what taking its listing in does.
-_WHOLE: Final = 3.0
-# Weight of a new measurement: of some seconds' listings of a small cell.
-_WEIGHT: Final = 0.02
-# A lease is asked for at least this many times while it lasts.
-_RENEWALS: Final = 3
+# Share of the owner's thread that listings may take.
+_THREAD_SHARE: Final = 0.25
+# Cost of a whole call as a multiple of processing its listing.
+_CALL_COST_FACTOR: Final = 3.0
+# Weight of a new measurement in the moving average, which covers some seconds
+# of listings in a small cell.
+_COST_WEIGHT: Final = 0.02
+# Least number of renewals while a lease lasts.
+_RENEWALS_PER_LEASE: Final = 3
 
 
 class ListingPace:
-    """Chooses for how long workers wait for news; all times in seconds."""
+    """Chooses how many seconds workers wait for changes before they list."""
 
     def __init__(
         self,
@@ -31,26 +33,37 @@
         lease: float,
         workers: Callable[[], int],
     ) -> None:
-        """Takes how late the thread is, the lease, and what counts workers."""
+        """Initializes the pace.
+
+        Args:
+            lateness: Measures how late the event loop is.
+            lease: Length of leases.
+            workers: Returns the number of workers.
+        """
         self._lateness = lateness
-        self._most = lease / _RENEWALS
-        self._workers = workers
-        self._cost = 0.0
+        self._wait_most = lease / _RENEWALS_PER_LEASE
+        self._count_workers = workers
+        self._listing_cost = 0.0
 
     def note(self, took: float) -> None:
-        """Notes how many seconds taking one listing in took."""
-        self._cost += (took - self._cost) * _WEIGHT
+        """Adds a measurement of the seconds to process one listing."""
+        self._listing_cost += (took - self._listing_cost) * _COST_WEIGHT
 
     def wait(self, now: float, *, serving: bool) -> float:
-        """Returns for how long a worker may wait before it lists.
+        """Returns how long a worker may wait for changes before it lists.
 
         Args:
             now: Present time.
-            serving: Whether tasks serve there beside tasks that fill.
+            serving: Whether both serving and filling tasks run there.
         """
         least = const.HOLD_WAIT_SERVING if serving else const.HOLD_WAIT
-        most = const.HOLD_WAIT_SERVING_MOST if serving else self._most
-        fair = self._workers() * _WHOLE * self._cost / _SHARE
-        # A late thread has less to spare than was measured.
-        wait = max(least, fair) + self._lateness.recent_at(now)
+        most = const.HOLD_WAIT_SERVING_MOST if serving else self._wait_most
+        affordable = (
+            self._count_workers()
+            * _CALL_COST_FACTOR
+            * self._listing_cost
+            / _THREAD_SHARE
+        )
+        # A late thread has less time to spare than the measured cost suggests.
+        wait = max(least, affordable) + self._lateness.recent_at(now)
         return min(wait, most)
--- a/pimentocross/owner/orders.py
+++ b/pimentocross/owner/orders.py
@@ -153,7 +153,7 @@
             with worker.calling():
                 reply = await worker.link.start(order, timeout)
         except (WorkerUnreachableError, WorkerReplacedError) as error:
-            worker.doubtful = True
+            worker.maybe_replaced = True
             worker.late_until = trio.current_time() + const.LATE_START_MOST
             if not _may_come_late(error):
                 run.note_start_settled()
@@ -169,7 +169,7 @@
         if not self._parts.may_start_on(worker) or not worker.clock.known:
             return False
         # Its capacity may have shrunk while the record was on its way.
-        if not worker.carries(task.step.spec):
+        if not worker.has_capacity_for(task.step.spec):
             return False
         return self._parts.ledger.age() < const.RENEWALS_WITHOUT_STORE
 
@@ -184,7 +184,7 @@
         now = trio.current_time()
         if reply.clock is not None:
             if worker.clock.is_behind(reply.clock):
-                worker.doubtful = True
+                worker.maybe_replaced = True
             worker.clock.note(reply.clock, now)
         if reply.verdict is StartVerdict.STARTED:
             self.started.set()
--- a/pimentocross/owner/owner.py
+++ b/pimentocross/owner/owner.py
@@ -18,6 +18,7 @@
 from pimentocross.owner import const
 from pimentocross.owner.admission import Admission
 from pimentocross.owner.breather import Breather
+from pimentocross.owner.call_timeouts import CallTimeouts
 from pimentocross.owner.collector import survivors_left_out, uncollected
 from pimentocross.owner.crashes import Crashes
 from pimentocross.owner.desk import Desk, JobReply, Outcome
@@ -33,7 +34,6 @@
 from pimentocross.owner.lived_runs import LivedRuns
 from pimentocross.owner.orders import Orders
 from pimentocross.owner.parts import CellParts
-from pimentocross.owner.patience import CallPatience
 from pimentocross.owner.repeats import Repeats
 from pimentocross.owner.roster import Roster, RosterParts
 from pimentocross.owner.take_over_log import TakeOverLog
@@ -260,7 +260,7 @@
         return CellParts(
             self.epoch,
             terms,
-            CallPatience(self.lateness, terms.lease),
+            CallTimeouts(self.lateness, terms.lease),
             ListingPace(self.lateness, terms.lease, self._roster.__len__),
             self._book,
             self._ledger,
--- a/pimentocross/owner/parts.py
+++ b/pimentocross/owner/parts.py
@@ -4,13 +4,13 @@
 from typing import Final, NamedTuple, Protocol
 
 from pimentocross.contracts.worker_link import Ending
+from pimentocross.owner.call_timeouts import CallTimeouts
 from pimentocross.owner.crashes import Crashes
 from pimentocross.owner.former_leases import FormerLeases
 from pimentocross.owner.jobs import JobBook
 from pimentocross.owner.late_starts import LateStarts
 from pimentocross.owner.ledger import Ledger
 from pimentocross.owner.listing_pace import ListingPace
-from pimentocross.owner.patience import CallPatience
 from pimentocross.owner.terms import OwnerTerms
 from pimentocross.owner.worker import Worker
 from pimentocross.work.spec import TaskName
@@ -70,7 +70,7 @@
 
     epoch: int
     terms: OwnerTerms
-    patience: CallPatience
+    patience: CallTimeouts
     pace: ListingPace
     book: JobBook
     ledger: Ledger
--- a/pimentocross/owner/room.py
+++ b/pimentocross/owner/room.py
@@ -42,7 +42,7 @@
         taken = sum(
             count * step.spec.size.cpu
             for worker in workers
-            for step, count in worker.brief().items()
+            for step, count in worker.short_run_counts().items()
             if is_short(step)
         )
         waiting = sum(
--- a/pimentocross/owner/roster.py
+++ b/pimentocross/owner/roster.py
@@ -1,4 +1,4 @@
-"""The workers of a cell: follows the directory, keeps one keeper for each."""
+"""Tracks the workers of a cell and runs a lease keeper for each of them."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Iterator
@@ -17,7 +17,7 @@
 from pimentocross.owner import const
 from pimentocross.owner.absent import AbsentWorkers
 from pimentocross.owner.former_leases import FormerLeases
-from pimentocross.owner.keeper import Keeper
+from pimentocross.owner.keeper import LeaseKeeper
 from pimentocross.owner.ledger import Ledger
 from pimentocross.owner.life_numbers import LifeNumbers
 from pimentocross.owner.parts import CellParts, Stops
@@ -28,13 +28,13 @@
 
 
 class RosterParts(NamedTuple):
-    """What a roster needs of an owner that runs.
+    """Parts of a running owner that its roster uses.
 
     Attributes:
-        nursery: Of the owner's tasks.
-        cell: What the owner's parts share.
+        nursery: Runs the owner's background tasks.
+        cell: State shared by the owner's parts.
         stops: Stops runs.
-        forget_life: Drops what else is known of a life's id.
+        forget_life: Drops what other parts keep for a worker id.
     """
 
     nursery: trio.Nursery
@@ -44,10 +44,10 @@
 
 
 class Roster:
-    """Worker lives by number; the numbers are in the store.
+    """The worker lives of a cell, under numbers that are in the store.
 
     Attributes:
-        numbers: Of the lives.
+        numbers: Assigns and records the numbers of lives.
     """
 
     def __init__(
@@ -59,46 +59,45 @@
         config: Callable[[], WorkConfig],
         zones: ZoneAccess,
     ) -> None:
-        """Takes where workers are listed and how they are reached.
+        """Initializes an empty roster.
 
         Args:
-            directory: Lists them.
-            dialer: Makes links.
-            ledger: Where numbers are recorded.
-            former_leases: Bounds leases of former owners.
-            config: Returns the configuration in force. Lives of services that
-                it doesn't name aren't called.
-            zones: Knows to which zones new runs may be sent.
+            directory: Lists the workers.
+            dialer: Makes links to workers.
+            ledger: Records the numbers of lives.
+            former_leases: Bounds the leases that former owners granted.
+            config: Returns the configuration in force. Workers of services
+                that it doesn't name are not called.
+            zones: Tells to which zones new runs may be sent.
         """
         self.numbers = LifeNumbers(ledger)
-        # Given by `open`.
+        # Set by `open`.
         self._parts: RosterParts
         self._config = config
         self._zones = zones
         self._directory = directory
         self._dialer = dialer
         self._former_leases = former_leases
-        # Of each id the newest life that is known.
+        # The newest known life of each worker id.
         self._by_life: dict[str, Worker] = {}
         self._absent = AbsentWorkers(self.numbers, dialer, former_leases)
-        self._keepers: dict[str, Keeper] = {}
-        # Keepers that don't run yet.
-        self._idle_keepers: list[Keeper] = []
-        # Lives that have ended and may still be listed: when they were born,
-        # by id.
-        self._ended: dict[str, int] = {}
-        # How many lives the directory listed last.
-        self._listed = 0
-        # Lives of each id that were met.
-        self._met: Counter[str] = Counter()
-        self._away = False
-        # Whether runs of before were tied to their workers.
+        self._keepers: dict[str, LeaseKeeper] = {}
+        # Keepers that have not been started yet.
+        self._idle_keepers: list[LeaseKeeper] = []
+        # Birth times of lives that have ended and may still be listed, by id.
+        self._ended_born: dict[str, int] = {}
+        # Number of lives in the newest directory list.
+        self._listed_count = 0
+        # How many lives of each id this owner has met.
+        self._met_lives: Counter[str] = Counter()
+        self._directory_away = False
+        # Whether the restored runs were assigned to their workers.
         self._has_adopted = False
-        # When the newest list that was read had been asked for, monotonic.
+        # When the newest directory list was requested, monotonic.
         self._read_at = float("-inf")
 
     def __len__(self) -> int:
-        """How many lives may still run something."""
+        """Returns the number of lives that may still run something."""
         return len(self._by_life)
 
     def workers(self) -> Iterator[Worker]:
@@ -113,25 +112,25 @@
             usable = [w for w in usable if w.life.zone not in closed]
         if self._is_current():
             return usable
-        return [worker for worker in usable if self._is_guarded(worker)]
+        return [worker for worker in usable if self._refuses_excess(worker)]
 
-    def runs_away(self) -> Iterator[tuple[Task, Run]]:
-        """Yields runs that nobody can hear of and that may still go on."""
-        unheard = (w for w in self._by_life.values() if not w.reached)
-        for worker in [*self._absent, *unheard]:
+    def unreachable_runs(self) -> Iterator[tuple[Task, Run]]:
+        """Yields runs that may still go on, on workers that don't answer."""
+        unreachable = (w for w in self._by_life.values() if not w.reachable)
+        for worker in [*self._absent, *unreachable]:
             for (task, _), run in worker.runs.items():
                 yield task, run
 
     def closed_capacity(self) -> int:
-        """Returns thousandths of a core in zones that aren't open."""
+        """Returns the capacity in closed zones, thousandths of a core."""
         usable = [worker for worker in self.workers() if worker.usable]
         closed = self._closed_zones(usable)
         return sum(w.life.capacity.cpu for w in usable if w.life.zone in closed)
 
     def _closed_zones(self, workers: Iterable[Worker]) -> set[str]:
-        """Returns those zones of workers that take nothing new.
+        """Returns the zones of workers to which no new runs may be sent.
 
-        Each zone is asked for once, not for each of its workers.
+        Each zone is looked up once, not for each of its workers.
         """
         zones = {worker.life.zone for worker in workers}
         return {zone for zone in zones if not self._zones.is_open(zone)}
@@ -140,23 +139,23 @@
         """True if new runs may be sent to a worker now."""
         if not worker.usable or not self._zones.is_open(worker.life.zone):
             return False
-        # Its capacity is known well enough to fill it up.
-        return self._is_current() or self._is_guarded(worker)
+        # The capacity was read recently, or the worker enforces it itself.
+        return self._is_current() or self._refuses_excess(worker)
 
     def _is_current(self) -> bool:
         return trio.current_time() - self._read_at <= const.ROSTER_TRUSTED
 
-    def _is_guarded(self, worker: Worker) -> bool:
-        """True if a worker refuses what doesn't fit any more."""
+    def _refuses_excess(self, worker: Worker) -> bool:
+        """True if a worker itself refuses runs beyond its capacity."""
         pool = self._config().services.get(worker.life.service)
         return pool is not None and pool.guarded
 
     def open(self, parts: RosterParts) -> None:
-        """Takes what the owner's other parts do for it, before all else."""
+        """Sets the owner's other parts; called before all other methods."""
         self._parts = parts
 
     async def follow(self) -> None:
-        """Follows the directory for ever."""
+        """Polls the directory and starts keepers until cancelled."""
         while True:
             await self.poll()
             await self.start_keepers()
@@ -165,7 +164,7 @@
             await trio.sleep(const.ROSTER_INTERVAL)
 
     def lease_rows(self) -> Iterator[LeaseRow]:
-        """Yields lives on which leases of former owners may last."""
+        """Yields rows of lives on which former owners' leases may last."""
         now = trio.current_time()
         for worker in [*self._absent, *self._by_life.values()]:
             may_last = worker.barred or worker.lease_end is None
@@ -174,73 +173,77 @@
                 yield LeaseRow(worker.number, round(left, 3), worker.barred)
 
     def note_former_ended(self, epoch: int) -> None:
-        """Notes that a former owner surely renews no lease any more."""
+        """Handles that a former owner surely renews no lease any more."""
         former_leases = self._former_leases
         former_leases.note_ended(epoch)
         for worker in [*self._absent, *self._by_life.values()]:
             until = former_leases.until(worker.number)
-            worker.blind_until = min(worker.blind_until, until)
+            worker.former_leases_until = min(worker.former_leases_until, until)
 
     async def start_keepers(self) -> None:
-        """Starts the keepers of lives that came in, one in a turn of the loop.
+        """Starts the keepers of new lives, one per pass of the event loop.
 
-        What costs is the first call that each makes, in the next turn.
+        Each keeper makes its first call in the next pass, and that call is
+        what costs time.
         """
         while self._idle_keepers:
             self._parts.nursery.start_soon(self._idle_keepers.pop(0).run)
             await trio.lowlevel.checkpoint()
 
     async def poll(self) -> None:
-        """Takes the directory's present list in."""
+        """Reads the directory and applies its present list."""
         asked_at = trio.current_time()
         try:
             lives = await self._directory.poll(const.ROSTER_TIMEOUT)
         except StoreUnavailableError as error:
-            if not self._away:
+            if not self._directory_away:
                 note("directory_lost", reason=str(error))
-            self._away = True
+            self._directory_away = True
             return
-        if self._away:
+        if self._directory_away:
             note("directory_regained", workers=len(lives))
-        self._away = False
+        self._directory_away = False
         self._read_at = asked_at
-        lives = self._without_ended(lives)
+        lives = self._filter_ended(lives)
         listed = {life.id: life for life in lives}
-        self._listed = len(listed)
+        self._listed_count = len(listed)
         services = self._config().services
         for life in lives:
             if life.service in services or life.id in self._by_life:
-                self._take(life)
+                self._apply_listed_life(life)
         if self._has_adopted:
-            self._drop_replaced(lives)
+            self._end_replaced_lives(lives)
         for worker in self._by_life.values():
             worker.listed = worker.life.id in listed
-            unknown = not worker.listed or worker.lease_end is None
-            if unknown and not worker.reached:
+            lease_unknown = not worker.listed or worker.lease_end is None
+            if lease_unknown and not worker.reachable:
                 self._former_leases.bar(worker)
-        self._bury_absent()
+        self._end_absent_lives()
         for life_id, worker in list(self._by_life.items()):
             if worker.gone and not worker.runs:
                 del self._by_life[life_id]
                 self._keepers.pop(life_id)
-                self._leave(worker)
+                self._forget_worker(worker)
                 if worker.replaced:
-                    # Its entry outlives it by seconds.
-                    self._ended[life_id] = worker.life.born
+                    # The directory entry outlives its worker by seconds.
+                    self._ended_born[life_id] = worker.life.born
 
-    def _without_ended(self, lives: Iterable[WorkerLife]) -> list[WorkerLife]:
-        """Leaves out lives that have ended; forgets those listed no more."""
+    def _filter_ended(self, lives: Iterable[WorkerLife]) -> list[WorkerLife]:
+        """Leaves out lives that have ended; forgets those no longer listed."""
         listed = list(lives)
         ids = {life.id for life in listed}
-        self._ended = {i: born for i, born in self._ended.items() if i in ids}
+        self._ended_born = {
+            i: born for i, born in self._ended_born.items() if i in ids
+        }
         return [
             life
             for life in listed
-            if life.id not in self._ended or life.is_after(self._ended[life.id])
+            if life.id not in self._ended_born
+            or life.is_after(self._ended_born[life.id])
         ]
 
     def adopt(self, runs: Iterable[tuple[Task, Run]]) -> None:
-        """Ties restored runs to their workers, listed or not."""
+        """Assigns restored runs to their workers, listed or not."""
         by_number = {w.number: w for w in self._by_life.values()}
         late_starts = self._parts.cell.late_starts
         for task, run in runs:
@@ -261,14 +264,15 @@
             successor = self._by_life.get(worker.life.id)
             if successor is not None:
                 self._replace_absent(worker, successor)
-        self._bury_absent()
-        self._absent.note_waits()
+        self._end_absent_lives()
+        self._absent.log_waits()
         self._has_adopted = True
 
     def note_born(self, worker: Worker, born: int) -> None:
-        """Notes when the life that answers for a worker started.
+        """Handles the birth time in a worker's reply.
 
-        It may be the next life of its id, which the directory tells of later.
+        It may be that of the next life of this id, which the directory lists
+        later. That life then replaces the former one.
         """
         if worker.gone:
             return
@@ -281,29 +285,29 @@
             self.numbers.note_born(worker.number, born)
 
     def note_replaced(self, worker: Worker) -> None:
-        """Notes that a life has ended; nothing may be tied to it any more.
+        """Drops the number of a replaced life; no run may be on it any more.
 
-        Recorded together with what that means: to a new owner it would else
-        seem to have ended only now.
+        Its removal is recorded together with the changes to its jobs.
+        Otherwise a new owner would take it for a life that has only just ended.
         """
         self.numbers.forget(worker.number)
 
-    def _bury_absent(self) -> None:
+    def _end_absent_lives(self) -> None:
         machines = {w.life.machine for w in self._by_life.values()}
-        self._absent.bury(machines, self._parts.cell)
+        self._absent.end_lives(machines, self._parts.cell)
 
     def _replace_absent(self, absent: Worker, successor: Worker) -> None:
-        """Has the next life of an id settle what was recorded on the former.
+        """Moves the runs of an absent life to the next life of its id.
 
-        A start that the former owner had sent may still begin there.
+        A start that the former owner sent may still begin there.
         """
-        self._absent.take_out(absent.number)
+        self._absent.remove(absent.number)
         self.numbers.forget(absent.number)
         self._parts.cell.crashes.note_replaced(absent)
         runs = [(task, run) for (task, _), run in absent.runs.items()]
         self._move_runs(runs, successor)
 
-    def _take(self, life: WorkerLife) -> None:
+    def _apply_listed_life(self, life: WorkerLife) -> None:
         worker = self._by_life.get(life.id)
         if worker is None:
             self._add(life)
@@ -323,10 +327,12 @@
         self._parts.cell.wake()
 
     def _restart(self, former: Worker, life: WorkerLife) -> None:
-        """Takes the next life of an id in the place of the former one."""
+        """Replaces a life by the next one of its id."""
         note("worker_restarted", worker=life.id, born=life.born)
-        unsure = self._keepers[life.id].hand_over("it has started again")
-        self._leave(former)
+        unsure = self._keepers[life.id].end_for_next_life(
+            "it has started again"
+        )
+        self._forget_worker(former)
         self._parts.forget_life(life.id)
         worker = self._add(life)
         self._move_runs(unsure, worker)
@@ -335,8 +341,8 @@
     def _move_runs(
         self, runs: Iterable[tuple[Task, Run]], worker: Worker
     ) -> None:
-        """Ties runs that may begin on a life to it, until it tells."""
-        worker.follows = True
+        """Assigns runs to a life on which they may begin, until it lists."""
+        worker.may_get_former_orders = True
         now = trio.current_time()
         for task, run in runs:
             run.worker = worker.number
@@ -348,21 +354,21 @@
 
     def _add(self, life: WorkerLife) -> Worker:
         number = self.numbers.number_of(life)
-        at_once = self._parts.cell.terms.orders_at_once(self._listed)
+        at_once = self._parts.cell.terms.orders_at_once(self._listed_count)
         worker = Worker(life, number, self._dialer.link(life), at_once)
-        worker.blind_until = self._former_leases.until(number)
+        worker.former_leases_until = self._former_leases.until(number)
         if life.draining:
             worker.draining_since = trio.current_time()
-        worker.unknown = not self.numbers.is_inherited(number)
-        worker.restarts = self._met[life.id]
-        self._met[life.id] += 1
+        worker.newly_listed = not self.numbers.is_inherited(number)
+        worker.restarts = self._met_lives[life.id]
+        self._met_lives[life.id] += 1
         self._by_life[life.id] = worker
-        keeper = Keeper(worker, self._parts.cell, self._parts.stops)
+        keeper = LeaseKeeper(worker, self._parts.cell, self._parts.stops)
         self._keepers[life.id] = keeper
         self._idle_keepers.append(keeper)
         self._parts.cell.crashes.note_listed(life)
         note("worker_listed", worker=life.id, number=number)
-        same = self._absent.take_out(number)
+        same = self._absent.remove(number)
         if same is not None:
             self._former_leases.bar(worker)
             for (task, _), run in same.runs.items():
@@ -372,16 +378,16 @@
                 self._replace_absent(absent, worker)
         return worker
 
-    def _leave(self, worker: Worker) -> None:
-        """Lets a life go that has ended."""
+    def _forget_worker(self, worker: Worker) -> None:
+        """Drops the number and the connections of a life that has ended."""
         self.numbers.forget(worker.number)
         self._parts.nursery.start_soon(worker.link.aclose)
 
-    def _drop_replaced(self, lives: list[WorkerLife]) -> None:
-        """Buries lives whose machine is listed with another one.
+    def _end_replaced_lives(self, lives: list[WorkerLife]) -> None:
+        """Ends lives of VMs of which another life is listed.
 
-        An entry outlives its worker by seconds: a life that is still listed has
-        ended if one that was born after it is listed with its machine.
+        A directory entry outlives its worker by seconds: a life that is still
+        listed has ended if a later born one of its VM is listed.
         """
         newest: dict[str, WorkerLife] = {}
         for life in lives:
@@ -397,6 +403,6 @@
             if successor.id == life_id:
                 continue
             if life_id not in listed or successor.is_after(worker.life.born):
-                self._keepers[life_id].bury(
+                self._keepers[life_id].end_life(
                     "its machine has another life", replaced=True
                 )
--- a/pimentocross/owner/terms.py
+++ b/pimentocross/owner/terms.py
@@ -1,4 +1,4 @@
-"""What the platform lets an owner do, as its settings tell."""
+"""Limits that the platform's settings impose on an owner."""
 
 from typing import NamedTuple
 
@@ -6,12 +6,13 @@
 
 
 class OwnerTerms(NamedTuple):
-    """Durations in seconds that differ from one deployment to the next.
+    """Limits of one deployment; durations in seconds.
 
     Attributes:
-        lease: Lease of what runs, no longer than workers grant.
-        ended_kept: How long a job that has ended is remembered.
-        granted_most: Longest lease that workers grant, whatever is asked for.
+        lease: Length of leases of runs, at most `granted_most`.
+        ended_kept: How long a job is remembered after its end.
+        granted_most: Longest lease that workers grant, even if a longer one
+            is requested.
         descriptors: File descriptors that the process may have open.
     """
 
@@ -22,23 +23,29 @@
 
     @property
     def lease_most(self) -> float:
-        """How long a lease lasts at most by our clock."""
+        """Longest duration of a lease on this process's clock.
+
+        Includes the drift of a worker's clock.
+        """
         return self.lease * (1 + const.CLOCK_DRIFT) + const.LAPSE_MARGIN
 
     @property
-    def loud_for(self) -> float:
-        """How long leases of an owner may last that left without a word."""
+    def unreleased_lease_most(self) -> float:
+        """Longest time that leases of an owner last if it didn't hand over.
+
+        It may have gone on renewing them without access to the store.
+        """
         return self.lease_most + const.RENEWALS_WITHOUT_STORE
 
     def orders_at_once(self, workers: int) -> int:
-        """Returns how many orders may be on their way to one worker.
+        """Returns how many concurrent orders one worker may get.
 
-        Load pattern: more than a thousand workers, to each of which a few
-        connections would use up the descriptors of a small VM, so that no call
-        connects any more. With so many each gets few orders.
+        Load pattern: with more than a thousand workers, a few connections to
+        each use up the file descriptors of a small VM, and new calls fail to
+        connect. So the limit falls with the number of workers.
 
         Args:
-            workers: How many there are.
+            workers: Number of workers.
         """
         connections = self.descriptors * const.WORKERS_SHARE / max(workers, 1)
         most = int(connections) - const.LISTING_CONNECTIONS
@@ -50,11 +57,12 @@
     ended_least: float,
     descriptors: int = const.DESCRIPTORS,
 ) -> OwnerTerms:
-    """Returns the terms within a deployment's bounds.
+    """Returns the default limits adapted to a deployment's bounds.
 
     Args:
         lease_most: Longest lease that its workers grant.
-        ended_least: How long the state of an ended job has to be told.
+        ended_least: Least time for which the state of an ended job has to be
+            available.
         descriptors: File descriptors that the process may have open.
     """
     return OwnerTerms(
--- a/pimentocross/owner/wall.py
+++ b/pimentocross/owner/wall.py
@@ -1,8 +1,8 @@
-"""The time of day, in one place so that tests can run in virtual time."""
+"""Wall-clock time, read in one place so that tests can use virtual time."""
 
 import time
 
 
 def now() -> float:
-    """Returns seconds since 1970."""
+    """Returns seconds since the Unix epoch."""
     return time.time()
--- a/pimentocross/owner/worker.py
+++ b/pimentocross/owner/worker.py
@@ -1,4 +1,4 @@
-"""One worker life as the owner of a cell knows it."""
+"""State that the owner of a cell keeps about one worker life."""
 
 from collections import Counter, deque
 from collections.abc import Iterator, Mapping
@@ -22,17 +22,25 @@
 from pimentocross.work.state import Job, Run, RunState, Step, Task
 
 RunKey = tuple[Task, int]
-# A lasting task that is at work is listed with this percentage.
-AT_WORK: Final = 100
-# A figure covers half a second, and a queue takes a moment to drain.
-FIGURE_SPAN: Final = 0.7
-# Figures are read every half second, and one in thirty is over the target by
-# chance: from the second on it is taken to last.
-OVER_TWICE: Final = 0.8
+# Progress percentage that a worker lists for a lasting task that is at work.
+AT_WORK_PERCENT: Final = 100
+# Seconds for which a stopped filler still affects the figures of other runs: a
+# figure covers half a second, and a queue takes a moment to drain.
+FIGURE_WINDOW: Final = 0.7
+# Seconds over its target after which a serving image counts as suffering.
+# Figures are read every half second and one in thirty is over the target by
+# chance, so a second one in a row is needed.
+SUFFERS_AFTER: Final = 0.8
 
 
-class Departure(NamedTuple):
-    """A filler that has left: when, its image, and what it used."""
+class StoppedFiller(NamedTuple):
+    """A run of a filling task that was removed from a worker.
+
+    Attributes:
+        at: When it was removed, monotonic seconds.
+        image: Its image.
+        figure: Processor time that it used, thousandths of a core.
+    """
 
     at: float
     image: str
@@ -40,47 +48,50 @@
 
 
 class Worker:
-    """A worker life, what it carries and its lease.
+    """A worker life, the runs committed to it and its lease.
 
     Attributes:
-        life: As last listed in the directory.
+        life: Its newest directory entry.
         number: Its number in the roster.
-        link: How it is reached.
-        clock: Its clock.
+        link: Sends calls to it.
+        clock: Bounds of its steady clock.
         runs: Runs that may be on it.
-        committed: What those take of its capacity.
-        lease_end: Latest reading of its clock up to which anything was let
-            run, or None if a former owner may have granted more.
-        blind_until: Until when a former owner's leases may last, monotonic.
-        barred: Whether a record says that nothing may run there; see
-            `FormerLeases`.
-        cleared: Set once no record in force says so; None unless one did.
-        heard_at: When it last listed what runs, monotonic.
-        seen: Number of the newest ending whose record is stored.
+        committed: Capacity committed to these runs.
+        lease_end: Latest deadline of the leases granted to it, as a reading of
+            its clock, or None if a former owner may have granted more.
+        former_leases_until: Until when leases of former owners may last,
+            monotonic.
+        barred: Whether the stored lease record says that nothing may run on
+            it; see `FormerLeases`.
+        unbar_recorded: Set once a lease record that doesn't bar it is stored;
+            None unless a record barred it.
+        last_reply_at: When it last listed its runs, monotonic.
+        newest_stored_ending: Number of the newest ending whose record is
+            stored.
         paced_at: When fillers on it were last slowed or sped up, monotonic.
-        unsound_until: Until when it gets nothing new, monotonic.
-        draining_since: When it was first listed as leaving, or None.
-        calls: Bounds the orders that are on their way to it.
-        adopted: Whether it has listed what runs to this owner.
+        unsound_until: Until when it gets no new runs, monotonic.
+        draining_since: When it was first listed as draining, or None.
+        calls: Limits the concurrent orders to it.
+        adopted: Whether it has listed its runs to this owner.
         listed: Whether the directory lists it.
-        unknown: Whether its entry was the first that was ever known of it, or
-            a former owner had seen it end.
+        newly_listed: Whether no life of its number was known before its entry
+            was read: it is new, or it had ended for a former owner.
         gone: Whether this life has surely ended.
-        replaced: Whether its machine is known to have another life.
-        restarts: Lives of its id before it that this owner had met.
-        follows: Whether orders that were meant for a former life of its id
-            may reach it.
-        reached: False from the first call without an answer to the next.
-        silent_at: When that was last so, monotonic.
-        doubtful: Whether another life of its id may have taken its place: a
-            call failed, or its clock went back.
-        late_until: Until when a start that it didn't answer may begin there,
+        replaced: Whether another life of its VM is known.
+        restarts: How many earlier lives of its id this owner has met.
+        may_get_former_orders: Whether it may receive orders that were sent to
+            an earlier life of its id.
+        reachable: False from the first failed call to the next answered one.
+        silent_since: When it last became unreachable, monotonic.
+        maybe_replaced: Whether another life of its id may have taken its
+            place: a call failed, or its clock went back.
+        late_until: Until when a start that it didn't answer may begin on it,
             monotonic.
-        isolated: Runs that keep other starts off it, and the seconds that each
-            has to live.
+        isolated: Runs beside which nothing else may start, and the seconds
+            that each has to live before that ends.
         suspects: Runs of tasks under which workers have crashed.
-        version: Rises with each run that is added or removed, and with each
-            listing.
+        version: Increases with each run that is added or removed, and with
+            each listing.
     """
 
     def __init__(
@@ -90,7 +101,14 @@
         link: WorkerLink,
         orders_at_once: int = const.ORDERS_AT_ONCE,
     ) -> None:
-        """Makes a worker that was not heard yet."""
+        """Initializes the state of a worker that has not been called yet.
+
+        Args:
+            life: Its directory entry.
+            number: Its number in the roster.
+            link: Sends calls to it.
+            orders_at_once: Most concurrent orders to it.
+        """
         self.life = life
         self.number = number
         self.link = link
@@ -100,56 +118,60 @@
         self.suspects: set[RunKey] = set()
         self.committed = NO_SIZE
         self.lease_end: float | None = None
-        self.blind_until = 0.0
+        self.former_leases_until = 0.0
         self.barred = False
-        self.cleared: trio.Event | None = None
-        self.heard_at = float("-inf")
-        self.seen = 0
+        self.unbar_recorded: trio.Event | None = None
+        self.last_reply_at = float("-inf")
+        self.newest_stored_ending = 0
         self.adopted = False
         self.listed = True
-        self.unknown = False
+        self.newly_listed = False
         self.gone = False
         self.replaced = False
-        self.reached = True
-        self.silent_at = 0.0
+        self.reachable = True
+        self.silent_since = 0.0
         self.late_until = float("-inf")
-        self.doubtful = False
+        self.maybe_replaced = False
         self.restarts = 0
-        self.follows = False
+        self.may_get_former_orders = False
         self.version = 0
         self.draining_since: float | None = None
         self.calls = trio.Semaphore(orders_at_once)
         self.paced_at = 0.0
         self.unsound_until = float("-inf")
-        self._left: deque[Departure] = deque()
+        self._stopped_fillers: deque[StoppedFiller] = deque()
         self._step_counts: dict[Step, int] = {}
-        self._brief_counts: dict[Step, int] = {}
-        self._over_since: dict[str, float] = {}
+        self._short_run_counts: dict[Step, int] = {}
+        self._over_target_since: dict[str, float] = {}
         self._serving: Counter[str] = Counter()
         self._filling: Counter[str] = Counter()
-        self._filled = 0
+        self._filling_cpu = 0
         self._free = NO_SIZE
-        # Of which capacity and commitments that is.
-        self._free_of = (NO_SIZE, NO_SIZE)
+        # The capacity and commitments from which `_free` was computed.
+        self._free_basis = (NO_SIZE, NO_SIZE)
 
     @property
     def free(self) -> Size:
-        """What is not committed."""
-        capacity, committed = self._free_of
+        """Capacity that is not committed to runs."""
+        capacity, committed = self._free_basis
         if (
             capacity is not self.life.capacity
             or committed is not self.committed
         ):
-            self._free_of = (self.life.capacity, self.committed)
+            self._free_basis = (self.life.capacity, self.committed)
             self._free = self.life.capacity.minus(self.committed)
         return self._free
 
     @contextmanager
     def calling(self) -> Iterator[None]:
-        """Has a call that our own token for the next life fenced fail rightly.
+        """Converts a fencing error into a replacement error if this life ended.
+
+        The next life of the same id gets orders with a higher token of this
+        owner, which fences later calls that were meant for this life.
 
         Raises:
-            WorkerReplacedError: That life has taken this one's place.
+            WorkerReplacedError: The next life has taken this one's place.
+            WorkerFencedError: Another owner has taken over.
         """
         try:
             yield
@@ -158,8 +180,12 @@
                 raise
             raise WorkerReplacedError from error
 
-    def carries(self, spec: StepSpec) -> bool:
-        """True if it carries what is committed, of all that a task takes."""
+    def has_capacity_for(self, spec: StepSpec) -> bool:
+        """True if its capacity covers its commitments for a task sent to it.
+
+        The task counts as committed already. Only resources that it takes are
+        compared.
+        """
         taken = zip(spec.committed, self.free, strict=True)
         return all(part <= 0 or free >= 0 for part, free in taken)
 
@@ -169,23 +195,24 @@
         return (
             self.adopted
             and self.listed
-            and self.reached
-            and self.cleared is None
+            and self.reachable
+            and self.unbar_recorded is None
             and not self.gone
             and not self.life.draining
         )
 
     @property
     def was_up(self) -> bool:
-        """True if it surely lived lately, for this owner or a former one.
+        """True if it surely was up recently, for this owner or a former one.
 
-        An entry outlives its worker by seconds, and a new owner meets it anew.
+        A directory entry outlives its worker by seconds, and a new owner may
+        read one of a worker that has ended already.
         """
-        return not self.unknown or self.heard_at > float("-inf")
+        return not self.newly_listed or self.last_reply_at > float("-inf")
 
     @property
     def is_isolating(self) -> bool:
-        """True while an isolated run keeps others off."""
+        """True while an isolated run lets nothing else start here."""
         return bool(self.isolated)
 
     def count_of(self, step: Step) -> int:
@@ -193,7 +220,7 @@
         return self._step_counts.get(step, 0)
 
     def add(self, task: Task, run: Run) -> None:
-        """Commits what a run takes."""
+        """Adds a run and commits capacity to it."""
         self.version += 1
         self.runs[(task, run.number)] = run
         if task.crash_history.crashes:
@@ -203,7 +230,7 @@
         self._count_image(task, 1)
 
     def remove(self, task: Task, number: int) -> None:
-        """Releases what a run took."""
+        """Removes a run and releases its capacity."""
         run = self.runs.pop((task, number), None)
         if run is None:
             return
@@ -213,50 +240,53 @@
         if task.step.spec.fills and run.figure:
             now = trio.current_time()
             image = task.step.spec.image
-            self._left.append(Departure(now, image, run.figure))
+            self._stopped_fillers.append(StoppedFiller(now, image, run.figure))
         self.committed = self.committed.minus(task.step.spec.committed)
         self._count_image(task, -1)
         self._count_step(task.step, -1)
 
     def lapsed(self, now: float) -> bool:
-        """True once every lease must have ended, and none can be renewed."""
+        """True once every lease granted to this worker must have ended."""
         return now > self.lapses_at
 
     @property
     def lapses_at(self) -> float:
-        """When every lease must have ended if none is renewed, monotonic."""
+        """When all its leases must have ended without renewal, monotonic."""
         if self.lease_end is None or not self.clock.known:
-            return self.blind_until
-        return self.clock.past_at(self.lease_end)
+            return self.former_leases_until
+        return self.clock.latest_time_of(self.lease_end)
 
     @property
     def serves(self) -> bool:
-        """True if a task with a target for its response times is on it."""
+        """True if a task with a response time target is on it."""
         return bool(self._serving)
 
     @property
     def filled(self) -> int:
-        """Processor time that tasks that fill ask for, thousandths."""
-        return self._filled
+        """Processor time that filling tasks request, thousandths of a core."""
+        return self._filling_cpu
 
     @property
     def serving(self) -> Mapping[str, int]:
-        """Processor time that serving tasks ask for, thousandths by image."""
+        """Processor time that serving tasks request, by image.
+
+        The unit is a thousandth of a core.
+        """
         return self._serving
 
     @property
     def filling(self) -> Mapping[str, int]:
-        """The same of tasks that fill."""
+        """Processor time that filling tasks request, as in `serving`."""
         return self._filling
 
-    def brief(self) -> Mapping[Step, int]:
-        """Returns runs by step of what neither lasts nor fills."""
-        return self._brief_counts
+    def short_run_counts(self) -> Mapping[Step, int]:
+        """Returns run counts of steps that neither last nor fill."""
+        return self._short_run_counts
 
     def _count_step(self, step: Step, sign: int) -> None:
-        brief = not (step.spec.lasting or step.spec.fills)
-        counted = (self._step_counts, self._brief_counts)
-        for counts in counted if brief else counted[:1]:
+        is_short = not (step.spec.lasting or step.spec.fills)
+        counted = (self._step_counts, self._short_run_counts)
+        for counts in counted if is_short else counted[:1]:
             counts[step] = counts.get(step, 0) + sign
             if not counts[step]:
                 del counts[step]
@@ -265,7 +295,7 @@
         spec = task.step.spec
         if spec.fills:
             counter = self._filling
-            self._filled += sign * spec.size.cpu
+            self._filling_cpu += sign * spec.size.cpu
         elif spec.target_tail:
             counter = self._serving
         else:
@@ -275,78 +305,88 @@
             del counter[spec.image]
 
     def filler_loads(self) -> dict[str, float]:
-        """Returns the share of its processors that each image fills."""
+        """Returns the share of its processors that fillers use, by image."""
         used: Counter[str] = Counter()
         for (task, _), run in self.runs.items():
             spec = task.step.spec
             if spec.fills:
                 used[spec.image] += run.figure
         now = trio.current_time()
-        while self._left and now - self._left[0].at > FIGURE_SPAN:
-            self._left.popleft()
-        for departure in self._left:
-            # The figures of those it disturbed still show a part of it.
-            share = 1.0 - (now - departure.at) / FIGURE_SPAN
-            used[departure.image] += int(departure.figure * share)
+        while (
+            self._stopped_fillers
+            and now - self._stopped_fillers[0].at > FIGURE_WINDOW
+        ):
+            self._stopped_fillers.popleft()
+        for stopped in self._stopped_fillers:
+            # The figures of runs that it disturbed still include a part of it.
+            share = 1.0 - (now - stopped.at) / FIGURE_WINDOW
+            used[stopped.image] += int(stopped.figure * share)
         capacity = max(self.life.capacity.cpu, 1)
         return {i: cpu / capacity for i, cpu in used.items() if cpu > 0}
 
     @property
     def suffers(self) -> bool:
-        """True if a serving task was over its target twice in a row."""
-        if not self._over_since:
+        """True if a serving image was over its target twice in a row."""
+        if not self._over_target_since:
             return False
-        return self.over_for(trio.current_time()) >= OVER_TWICE
+        return self.seconds_over_target(trio.current_time()) >= SUFFERS_AFTER
 
-    def over_for(self, now: float) -> float:
-        """Returns for how many seconds a serving image has been over."""
-        return now - min(self._over_since.values(), default=now)
+    def seconds_over_target(self, now: float) -> float:
+        """Returns the most seconds that a serving image is over its target."""
+        return now - min(self._over_target_since.values(), default=now)
 
     def readings(self, now: float) -> list[Reading]:
-        """Returns how each serving image does that is at work."""
+        """Returns each serving image's response times relative to target."""
         ratios: dict[str, list[float]] = {}
         for task, run in self.running():
             spec = task.step.spec
-            if spec.target_tail and run.percent >= AT_WORK and run.figure:
+            if (
+                spec.target_tail
+                and run.percent >= AT_WORK_PERCENT
+                and run.figure
+            ):
                 ratio = run.figure / spec.target_tail
                 ratios.setdefault(spec.image, []).append(ratio)
-        for image in list(self._over_since):
+        for image in list(self._over_target_since):
             if max(ratios.get(image, [0.0])) < 1.0:
-                del self._over_since[image]
+                del self._over_target_since[image]
         return [
             Reading(
                 image,
                 max(found),
                 statistics.median(found),
-                self._over_for(image, max(found), now),
+                self._update_over_target(image, max(found), now),
             )
             for image, found in ratios.items()
         ]
 
-    def _over_for(self, image: str, ratio: float, now: float) -> float:
+    def _update_over_target(
+        self, image: str, ratio: float, now: float
+    ) -> float:
         if ratio < 1.0:
             return 0.0
-        return now - self._over_since.setdefault(image, now)
+        return now - self._over_target_since.setdefault(image, now)
 
     def lived(self, run: Run) -> float:
-        """Returns for how many seconds a run was seen to live here.
+        """Returns for how many seconds a run is known to have lived here.
 
-        A run that its worker never listed may have lived for no time at all.
+        Returns 0 for a run that was never listed, as it may not have begun.
         """
         if not run.began_at:
             return run.lived_before
         running = run.state is RunState.RUNNING
         since = run.state_at if running else run.began_at
-        return run.lived_before + max(self.heard_at - since, 0.0)
+        return run.lived_before + max(self.last_reply_at - since, 0.0)
 
     def isolate(self, task: Task, run: Run) -> None:
-        """Lets nothing else start here until a run has proved harmless."""
+        """Lets nothing else start here until a run has lived long enough."""
         self.isolated[(task, run.number)] = task.crash_history.isolation
 
     def isolate_adopted(self) -> None:
-        """Isolates what a former owner had: runs of one job that are to be.
+        """Isolates the runs that a former owner had isolated here.
 
-        With those of several jobs it had none of them isolated.
+        These are runs of a single job. If runs of several jobs need isolation,
+        the former owner had isolated none of them.
         """
         found = [
             (task, run)
@@ -358,7 +398,7 @@
                 self.isolate(task, run)
 
     def end_isolation(self) -> None:
-        """Ends isolation of runs that lived long enough."""
+        """Ends the isolation of runs that have lived long enough."""
         over = [
             key
             for key, least in self.isolated.items()
@@ -368,14 +408,17 @@
             del self.isolated[key]
 
     def is_proven(self, job: Job) -> bool:
-        """True if no run of another job has only just started here."""
+        """True if all runs of other jobs here have outlived the crash window.
+
+        See `PROVEN_AFTER`.
+        """
         return all(
             task.step.job is job or self.lived(run) >= PROVEN_AFTER
             for (task, _), run in self.runs.items()
         )
 
     def running(self) -> list[tuple[Task, Run]]:
-        """Returns the runs that were listed and aren't being stopped."""
+        """Returns the runs that were listed and are not being stopped."""
         return [
             (task, run)
             for (task, _), run in self.runs.items()
@@ -383,27 +426,29 @@
         ]
 
     def settled(self, now: float, least: float) -> list[Task]:
-        """Returns lasting tasks, in no gang, at work for at least some seconds.
+        """Returns the lasting tasks here that may be moved to another worker.
 
-        What a former owner had started counts as long at work: a new one would
-        else have nothing give way for seconds after each take-over. What may
-        not be started again at once stays where it is.
+        These are in no gang and at work for at least `least` seconds. A run
+        that a former owner started counts as long at work: otherwise a new
+        owner could move nothing for seconds after each take-over. Runs that
+        may not be started again at once are left out.
 
         Args:
             now: Present time.
-            least: Seconds; what has just come does no work if it moves again.
+            least: Seconds at work before a task may move. A task that has only
+                just arrived would get no work done if it moved again.
         """
         return [
             task
             for task, run in self.running()
             if task.step.spec.lasting
             and not task.step.spec.gang
-            and run.percent >= AT_WORK
+            and run.percent >= AT_WORK_PERCENT
             and (run.is_adopted or now - run.began_at >= least)
             and not run.may_come_late(now)
         ]
 
     def drain_left(self, now: float) -> float:
-        """Returns the seconds that a draining worker surely still has."""
+        """Returns the seconds that a draining worker surely has left."""
         since = self.draining_since if self.draining_since else now
         return max(self.life.remaining - (now - since), 0.0)
--- a/pimentocross/owner/worker_ends.py
+++ b/pimentocross/owner/worker_ends.py
@@ -1,7 +1,7 @@
-"""Remembers which workers have ended of late, also for the next owner.
+"""Records the recent ends of workers, also for the next owner.
 
-A crash tells little of a task while workers go for other reasons as well. An
-owner that has just come would take the next such crash for the first.
+A crash says little about a task while workers also end for other reasons. A new
+owner without this record would take the next such crash for the first one.
 """
 
 from collections import deque
@@ -15,17 +15,17 @@
 from pimentocross.work.crash_history import OUTAGE_SPAN
 from pimentocross.work.records import EndRow
 
-# Enough to tell an outage, however large the cell.
-_RECORDED_MOST: Final = 64
+# Enough to detect an outage in a cell of any size.
+_RECORDED_ENDS_MOST: Final = 64
 
 
 class WorkerEnd(NamedTuple):
-    """An end of a worker.
+    """The end of a worker.
 
     Attributes:
-        at: When it went, as far as can be told, monotonic.
-        rack: The worker's.
-        explained: Whether something had just started on it.
+        at: Estimated time of the end, monotonic seconds.
+        rack: Rack of the worker.
+        explained: Whether a run had only just started on it.
     """
 
     at: float
@@ -34,43 +34,43 @@
 
 
 class WorkerEnds:
-    """Ends of workers within `OUTAGE_SPAN`."""
+    """Ends of workers within the last `OUTAGE_SPAN` seconds."""
 
     def __init__(self, ledger: Ledger) -> None:
-        """Takes where they are recorded."""
+        """Initializes an empty list that is recorded in the ledger."""
         self._ledger = ledger
         self._record = PlainRecord(records.ENDS, self._encode)
         self._ends: deque[WorkerEnd] = deque()
 
     def restore(self, value: bytes) -> None:
-        """Takes in what a former owner has recorded.
+        """Restores the ends that a former owner recorded.
 
         Raises:
-            RecordError: It is of another form.
+            RecordError: The record has an unexpected format.
         """
         now = trio.current_time()
         for row in records.decode_ends(value):
-            # Clocks of VMs differ.
+            # Clocks of VMs differ: an end must not lie in the future.
             at = min(now + row.at - wall.now(), now)
             self._ends.append(WorkerEnd(at, row.rack, row.explained))
 
     def note(self, end: WorkerEnd) -> None:
-        """Notes that a worker has ended."""
+        """Adds and records the end of a worker."""
         self._ends.append(end)
         self._ledger.put(self._record)
 
     def recent(self) -> list[WorkerEnd]:
-        """Returns those of late."""
+        """Returns the ends within the last `OUTAGE_SPAN` seconds."""
         before = trio.current_time() - OUTAGE_SPAN
         while self._ends and self._ends[0].at < before:
             self._ends.popleft()
         return list(self._ends)
 
     def _encode(self) -> bytes:
-        ahead = wall.now() - trio.current_time()
+        wall_offset = wall.now() - trio.current_time()
         return records.encode_ends(
             [
-                EndRow(round(end.at + ahead, 3), end.rack, end.explained)
-                for end in self.recent()[-_RECORDED_MOST:]
+                EndRow(round(end.at + wall_offset, 3), end.rack, end.explained)
+                for end in self.recent()[-_RECORDED_ENDS_MOST:]
             ]
         )
--- a/tests/pass_fixtures.py
+++ b/tests/pass_fixtures.py
@@ -73,7 +73,7 @@
         """Yields the workers."""
         yield from self._workers
 
-    def runs_away(self) -> Iterator[tuple[Task, Run]]:
+    def unreachable_runs(self) -> Iterator[tuple[Task, Run]]:
         """Yields none: all are heard."""
         yield from ()
 
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -12,7 +12,7 @@
 from pimentocross.observe import decisions
 from pimentocross.owner.isolation import Isolation
 from pimentocross.owner.jobs import JobBook
-from pimentocross.owner.keeper import Keeper
+from pimentocross.owner.keeper import LeaseKeeper
 from pimentocross.owner.ledger import Ledger
 from pimentocross.owner.owner import Owner
 from pimentocross.owner.worker import Worker
@@ -353,10 +353,10 @@
     ledger = Ledger(StoreStandin().client("a"), "jobs", "owner", 1)
     book = JobBook(ledger, 0.0)
     parts = make_parts(book, ledger, lambda *_: None, lambda _: None)
-    keeper = Keeper(make_worker(life(1), 1), parts, mock.Mock())
+    keeper = LeaseKeeper(make_worker(life(1), 1), parts, mock.Mock())
     before = decisions.counts()["worker_crashed"]
-    keeper.bury("its machine has another life", replaced=True)
-    keeper.bury("another life answers at its address", replaced=True)
+    keeper.end_life("its machine has another life", replaced=True)
+    keeper.end_life("another life answers at its address", replaced=True)
     assert decisions.counts()["worker_crashed"] == before + 1
 
 
--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -171,7 +171,7 @@
         return [row.run for row in note_silent.call_args.args[1]]
 
     heard = make_worker(life(1), 1)
-    heard.heard_at = trio.current_time()
+    heard.last_reply_at = trio.current_time()
     assert recorded(heard, decided_at=1.0) == [1]
     # A former owner may have seen it live for long.
     assert recorded(heard, decided_at=0.0) == []
--- a/tests/test_lived_runs.py
+++ b/tests/test_lived_runs.py
@@ -60,10 +60,10 @@
     _lived_runs(step, 7).adopt([(step.tasks[0], run)])
     worker.isolate_adopted()
     run.began_at = run.state_at = 10.0
-    worker.heard_at = 10.4
+    worker.last_reply_at = 10.4
     worker.end_isolation()
     assert worker.is_isolating
-    worker.heard_at = 10.6
+    worker.last_reply_at = 10.6
     worker.end_isolation()
     assert not worker.is_isolating
 
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -9,7 +9,7 @@
 from pimentocross.observe import decisions
 from pimentocross.owner import const
 from pimentocross.owner.desk import Outcome
-from pimentocross.owner.keeper import Keeper
+from pimentocross.owner.keeper import LeaseKeeper
 from pimentocross.owner.terms import OwnerTerms, make_terms
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import (
@@ -226,7 +226,9 @@
     assert make_terms(3.0, 400.0) == OwnerTerms(3.0, 430.0, 3.0)
     usual = make_terms(10.0, 120.0)
     assert usual == OwnerTerms(const.LEASE, const.ENDED_KEPT, 10.0)
-    assert usual.loud_for > const.RENEWALS_WITHOUT_STORE + const.LEASE
+    assert (
+        usual.unreleased_lease_most > const.RENEWALS_WITHOUT_STORE + const.LEASE
+    )
 
 
 def test_orders_to_many_workers_leave_descriptors_of_a_small_vm() -> None:
@@ -395,11 +397,13 @@
             0.3 if begun[name] == 1 else 20.0, SMALL, begun[name] == 1
         )
 
-    async def never_noted(self: Keeper, newest: int, batch: object) -> None:
+    async def never_noted(
+        self: LeaseKeeper, newest: int, batch: object
+    ) -> None:
         await trio.sleep(0.2)
 
     hall = make_hall(2, plan=fails_first)
-    with mock.patch.object(Keeper, "_note_endings", never_noted):
+    with mock.patch.object(LeaseKeeper, "_note_endings", never_noted):
         for epoch in range(1, QUEUE.attempts + 2):
             async with running(make_owner(store, hall, epoch)) as owner:
                 await owner.desk.submit("j1", QUEUE, chain(1, 1))
--- a/tests/test_owner_rules.py
+++ b/tests/test_owner_rules.py
@@ -42,7 +42,7 @@
 
 def test_leases_are_waited_for() -> None:
     def impatient(self: Worker, now: float) -> bool:
-        return not self.reached
+        return not self.reachable
 
     with mock.patch.object(Worker, "lapsed", impatient):
         _broken_within_seeds("waiting for leases")
@@ -61,13 +61,17 @@
 
 
 def test_endings_are_recorded_before_they_are_noted() -> None:
-    real = keeper.Keeper._note_endings
+    real = keeper.LeaseKeeper._note_endings
 
-    async def hasty(self: keeper.Keeper, newest: int, batch: object) -> None:
-        self._worker.seen = max(self._worker.seen, newest)
+    async def hasty(
+        self: keeper.LeaseKeeper, newest: int, batch: object
+    ) -> None:
+        self._worker.newest_stored_ending = max(
+            self._worker.newest_stored_ending, newest
+        )
         await real(self, newest, None)
 
-    with mock.patch.object(keeper.Keeper, "_note_endings", hasty):
+    with mock.patch.object(keeper.LeaseKeeper, "_note_endings", hasty):
         with mock.patch.object(const, "BATCH_PAUSE", 1.5):
             _broken_within_seeds("recording before noting")
 
--- a/tests/test_wire_cost.py
+++ b/tests/test_wire_cost.py
@@ -29,7 +29,7 @@
     connect_target,
 )
 from pimentocross.owner.jobs import JobBook
-from pimentocross.owner.keeper import Keeper
+from pimentocross.owner.keeper import LeaseKeeper
 from pimentocross.owner.learned import Learned
 from pimentocross.owner.ledger import Ledger
 from pimentocross.owner.worker import Worker
@@ -185,7 +185,7 @@
         for task, run in tasks:
             worker.add(task, run)
         async with trio.open_nursery() as nursery:
-            keeper = Keeper(worker, parts, _NoStops())
+            keeper = LeaseKeeper(worker, parts, _NoStops())
             with _counting() as count:
                 nursery.start_soon(keeper.run)
                 await link.done.wait()
