--- a/tests/test_absent_workers.py
+++ b/tests/test_absent_workers.py
@@ -1,8 +1,9 @@
-"""What ran on a worker that has left runs again in time, whoever owns the cell.
+"""Tests that runs of a worker that left restart in time across take-overs.
 
-Owners follow one another while the store turns some VMs away, and workers leave
-meanwhile. A task that lasts has to be at work again within the lease of its
-last run and a moment, however many owners there were.
+The store refuses some VMs, so that owners follow one another, and workers leave
+meanwhile. A lasting task has to be at work again shortly after the lease of its
+last run, however many owners there were. Guards against a wait for that lease
+that starts anew with each take-over.
 """
 
 from typing import Final
@@ -25,11 +26,11 @@
     wait_until,
 )
 
-# Users allow 6 s from the end of a run, and 3 s without one after these.
-_AT_WORK_WITHIN: Final = 6.0 + 3.0
+# Users allow 6 s from the end of a run, and 3 s more without one.
+_MAX_DOWNTIME: Final = 6.0 + 3.0
 _JOB: Final = "watch"
 _TASKS: Final = 6
-# Three of them fit on a worker.
+# Three tasks of this size fit on a worker.
 _SIZE: Final = Size(2500, 1000, 0)
 
 
@@ -37,12 +38,12 @@
     return TaskPlan(LASTS, _SIZE)
 
 
-def _watch() -> JobSpec:
+def _watch_spec() -> JobSpec:
     return spec(StepSpec(_TASKS, _SIZE, lasting=True))
 
 
-def _at_work(hall: WorkerHall) -> dict[TaskName, str]:
-    """Returns the workers of tasks that run on a worker that is up."""
+def _find_running(hall: WorkerHall) -> dict[TaskName, str]:
+    """Returns the worker ids of tasks that run on live workers."""
     found = {}
     for worker in hall.workers.values():
         if not worker.dead:
@@ -51,26 +52,26 @@
     return found
 
 
-def _all_at_work(hall: WorkerHall) -> bool:
-    return len(_at_work(hall)) == _TASKS
+def _all_running(hall: WorkerHall) -> bool:
+    return len(_find_running(hall)) == _TASKS
 
 
-def _leave(hall: WorkerHall, worker: str) -> None:
-    """Has a worker end for good: its entry goes, and nothing answers."""
+def _remove_for_good(hall: WorkerHall, worker: str) -> None:
+    """Ends a worker for good: it is unlisted and doesn't answer."""
     hall.workers[worker].crash()
     hall.workers[worker].faults.silent = True
     hall.unlisted.add(worker)
 
 
-async def _wait_at_work(hall: WorkerHall, since: float) -> None:
-    """Waits until all tasks are at work, in time after a worker has left."""
-    await wait_until(lambda: _all_at_work(hall), timeout=60.0)
+async def _wait_all_running(hall: WorkerHall, since: float) -> None:
+    """Waits until all tasks run, and checks the time since a worker left."""
+    await wait_until(lambda: _all_running(hall), timeout=60.0)
     took = trio.current_time() - since
-    assert took < _AT_WORK_WITHIN, f"away for {took:.1f} s"
+    assert took < _MAX_DOWNTIME, f"away for {took:.1f} s"
     assert not find_twice(hall.journal)
 
 
-async def _owner_of(cell: VmCell, *names: str) -> Vm:
+async def _wait_for_owner(cell: VmCell, *names: str) -> Vm:
     def owners() -> list[Vm]:
         return [vm for vm in cell.owners() if vm.name in names]
 
@@ -80,48 +81,49 @@
 
 async def _submit(owner: Owner | None, hall: WorkerHall) -> None:
     assert owner is not None
-    await owner.desk.submit(_JOB, QUEUE, _watch())
-    await wait_until(lambda: _all_at_work(hall))
+    await owner.desk.submit(_JOB, QUEUE, _watch_spec())
+    await wait_until(lambda: _all_running(hall))
     await trio.sleep(3.0)
 
 
 async def test_a_worker_that_leaves_under_a_weak_owner_keeps_no_task_away() -> (
     None
 ):
-    # LOST: 17.4 s were counted anew from each of two take-overs.
+    # LOST: the wait for former leases, 17.4 s, started anew with each of two
+    # take-overs.
     cell = VmCell()
     cell.hall = make_hall(4, _lasting)
     async with cell.running():
         strong = cell.start("strong", STRONG)
-        await _owner_of(cell, "strong")
+        await _wait_for_owner(cell, "strong")
         for name in ("weak-1", "weak-2", "weak-3"):
             cell.start(name, WEAK)
         await _submit(strong.election.owner, cell.hall)
         cell.store.faults.refused = {"strong"}
-        weak = await _owner_of(cell, "weak-1", "weak-2", "weak-3")
+        weak = await _wait_for_owner(cell, "weak-1", "weak-2", "weak-3")
         await trio.sleep(4.0)
-        left = next(iter(_at_work(cell.hall).values()))
-        _leave(cell.hall, left)
+        left = next(iter(_find_running(cell.hall).values()))
+        _remove_for_good(cell.hall, left)
         left_at = trio.current_time()
         cell.store.faults.refused = set()
-        await _owner_of(cell, "strong")
+        await _wait_for_owner(cell, "strong")
         assert weak.name != "strong" and len(cell.claims()) == 3
-        await _wait_at_work(cell.hall, left_at)
+        await _wait_all_running(cell.hall, left_at)
 
 
 async def test_owners_in_a_row_wait_once_for_a_worker_that_left() -> None:
-    # LOST: each of them waited from its own take-over.
+    # LOST: each owner waited for the lease from its own take-over on.
     store, hall = StoreStandin(), make_hall(4, _lasting)
     async with running(make_owner(store, hall, 1)) as owner:
         await _submit(owner, hall)
     async with running(make_owner(store, hall, 2, former_quiet=False)):
         await trio.sleep(5.0)
-        left = next(iter(_at_work(hall).values()))
-        _leave(hall, left)
+        left = next(iter(_find_running(hall).values()))
+        _remove_for_good(hall, left)
         left_at = trio.current_time()
         await trio.sleep(1.5)
     for epoch in (3, 4):
         async with running(make_owner(store, hall, epoch, former_quiet=False)):
             await trio.sleep(1.5)
     async with running(make_owner(store, hall, 5, former_quiet=False)):
-        await _wait_at_work(hall, left_at)
+        await _wait_all_running(hall, left_at)
--- a/tests/test_failing_workers.py
+++ b/tests/test_failing_workers.py
@@ -1,9 +1,9 @@
-"""Workers that fail all that they start, beside wide jobs.
+"""Tests of workers that fail every run that they start, with wide jobs.
 
-Of 270 workers forty failed all that they started, for six seconds. A wide job
-had tasks on several of them, and what fails on two workers counted as the job's
-own fault: nothing was held against the workers, which looked free and drew more
-work, until tasks had used up their attempts.
+Forty of 270 workers failed every run for six seconds. A wide job had tasks on
+several of them, and a job that failed on two workers was held at fault itself.
+So no worker was quarantined: the failing ones looked free and got more runs,
+until tasks had used up their attempts.
 
     62 of 148 batch jobs, 44 of 289 short ones: out of attempts, 3 runs failed
     runs: 11805 done, 3342 failed
@@ -43,7 +43,9 @@
     return TaskPlan(0.5, _SIZE)
 
 
-async def _play(hall: WorkerHall, states: list[JobState | None]) -> None:
+async def _run_wide_jobs(
+    hall: WorkerHall, states: list[JobState | None]
+) -> None:
     with mock.patch.object(wall, "now", trio.current_time):
         async with running(make_owner(StoreStandin(), hall, 1)) as owner:
             await trio.sleep(1.0)
@@ -62,7 +64,7 @@
 def test_wide_jobs_end_well_beside_workers_that_fail_all() -> None:
     hall = make_hall(_WORKERS, _plan)
     states: list[JobState | None] = []
-    run_virtual(lambda: _play(hall, states))
+    run_virtual(lambda: _run_wide_jobs(hall, states))
     failed = sum(state is JobState.FAILED for state in states)
     ended = sum(state is JobState.COMPLETED for state in states)
     assert failed + ended == _JOBS, states
@@ -72,8 +74,9 @@
 
 
 def test_a_lasting_task_goes_elsewhere_after_it_failed() -> None:
-    # Half of all failed runs were of tasks that last: a worker that had failed
-    # them had most room again, and got them back, up to a hundred in 6 s.
+    # Half of all failed runs were of lasting tasks: the worker that had failed
+    # one had the most free capacity again and got it back, up to a hundred
+    # times in 6 s.
     step = StepSpec(1, _SIZE, lasting=True)
     task = make_step("watch", step).tasks[0]
     worker = make_worker(life(7), 7)
@@ -119,7 +122,8 @@
     for worker in ("a", "b", "c"):
         _fail(quarantine, worker, "mixed.0")
         _fail(quarantine, worker, "mixed.1")
-    # The first that it failed on may have been judged before a second spoke.
+    # The first worker may have been quarantined before the task failed on a
+    # second one.
     assert quarantine.admits("b", 1.0)
     assert quarantine.admits("c", 1.0)
 
--- a/tests/test_given_up_starts.py
+++ b/tests/test_given_up_starts.py
@@ -1,4 +1,4 @@
-"""Starts that were given up before they were sent."""
+"""Tests that starts given up before they were sent are never sent."""
 
 import trio
 
@@ -22,7 +22,7 @@
     spec,
 )
 
-# The longest outage of the store that was announced, in seconds.
+# Longest announced outage of the store, in seconds.
 _OUTAGE = 9.0
 
 
@@ -31,8 +31,9 @@
 
 
 async def test_a_start_that_was_given_up_is_not_sent() -> None:
-    # TWICE: it was decided in an outage, its worker's lease lapsed, and it
-    # went out once its record was stored, beside the one in its place.
+    # TWICE: the start was decided during an outage of the store and its
+    # worker's lease lapsed. It was sent once its record was stored, although
+    # the task had been started elsewhere meanwhile.
     store, hall, zones = StoreStandin(), make_hall(1, _lasting), ClosedZones()
     zones.close("north")
     async with running(make_owner(store, hall, 1, zones=zones)) as owner:
--- a/tests/test_large_restarts.py
+++ b/tests/test_large_restarts.py
@@ -1,4 +1,4 @@
-"""A large cell whose workers crash, start again and change their capacity."""
+"""Tests a large cell whose workers crash, restart and change capacity."""
 
 from collections import Counter
 import random
@@ -33,53 +33,53 @@
 _LASTING_JOBS = 60
 _CRASHING_JOBS = 20
 _SECONDS = 12.0
-# What has waited has ended this long after the last job came.
-_ENDED_AFTER = 6.0
-_JOBS_A_SECOND = 6
-# Workers that start again under their ids, and whose capacity changes.
-_RESTARTS_A_SECOND = 1
-_CHANGES_A_SECOND = 5
-_DOWN = (0.5, 3.0)
+# All waiting jobs have ended this long after the last submission.
+_SETTLING_SECONDS = 6.0
+_JOBS_PER_SECOND = 6
+# Rates of restarts under the same id and of capacity changes.
+_RESTARTS_PER_SECOND = 1
+_CHANGES_PER_SECOND = 5
+_DOWNTIME_RANGE = (0.5, 3.0)
 
 
-class _Machines:
-    """Starts workers again that crashed, and has others do so by themselves."""
+class _FaultInjector:
+    """Restarts crashed workers and others, and changes their capacity."""
 
     def __init__(self, clock: ChargingClock, hall: LargeHall) -> None:
         self._clock = clock
         self._workers = list(hall.workers.values())
         self._random = random.Random(1)
-        self._back_at: dict[TaskWorkerStandin, float] = {}
+        self._restart_at: dict[TaskWorkerStandin, float] = {}
 
     async def run(self) -> None:
         step = 0.05
         while True:
             await trio.sleep(step)
             with self._clock.free():
-                self._look()
-                if self._random.random() < _RESTARTS_A_SECOND * step:
+                self._restart_crashed()
+                if self._random.random() < _RESTARTS_PER_SECOND * step:
                     self._random.choice(self._workers).restart()
-                if self._random.random() < _CHANGES_A_SECOND * step:
-                    self._change(self._random.choice(self._workers))
+                if self._random.random() < _CHANGES_PER_SECOND * step:
+                    self._change_capacity(self._random.choice(self._workers))
 
-    def _look(self) -> None:
+    def _restart_crashed(self) -> None:
         now = trio.current_time()
         for worker in self._workers:
             worker.advance()
             if not worker.down:
-                self._back_at.pop(worker, None)
+                self._restart_at.pop(worker, None)
                 continue
-            down = self._random.uniform(*_DOWN)
-            if now >= self._back_at.setdefault(worker, now + down):
+            down = self._random.uniform(*_DOWNTIME_RANGE)
+            if now >= self._restart_at.setdefault(worker, now + down):
                 worker.restart()
 
-    def _change(self, worker: TaskWorkerStandin) -> None:
+    def _change_capacity(self, worker: TaskWorkerStandin) -> None:
         share = self._random.uniform(0.25, 1.0)
-        room = Size(*(int(part * share) for part in CAPACITY))
-        worker.life = worker.life._replace(capacity=room)
+        capacity = Size(*(int(part * share) for part in CAPACITY))
+        worker.life = worker.life._replace(capacity=capacity)
 
 
-async def _play(clock: ChargingClock) -> None:
+async def _run_large_cell(clock: ChargingClock) -> None:
     hall = make_large_hall(clock, _WORKERS, plan_of)
     store = StoreStandin()
     access = hall.access("a")
@@ -89,15 +89,16 @@
         for number in range(_LASTING_JOBS):
             await owner.desk.submit(f"last{number}", QUEUE, lasting_job(number))
         await trio.sleep(2.0)
-        nursery.start_soon(_Machines(clock, hall).run)
+        nursery.start_soon(_FaultInjector(clock, hall).run)
         for number in range(_CRASHING_JOBS):
             await owner.desk.submit(f"crash{number}", QUEUE, quick_job())
-        quick = await _bring_jobs(owner)
-        await trio.sleep(_ENDED_AFTER)
+        quick = await _submit_jobs(owner)
+        await trio.sleep(_SETTLING_SECONDS)
         crashing = _states(owner, "crash", _CRASHING_JOBS)
         lasting = _states(owner, "last", _LASTING_JOBS)
         short = _states(owner, "quick", quick)
-        # Users let a task be given up under which two workers have crashed.
+        # Users accept that a task is given up once two workers have crashed
+        # under it.
         lost = [
             job
             for job in (f"quick{number}" for number in range(quick))
@@ -114,14 +115,14 @@
     assert short[JobState.COMPLETED] > 0.9 * quick, short
 
 
-async def _bring_jobs(owner: Owner) -> int:
-    """Submits short and filling jobs; returns how many short ones."""
+async def _submit_jobs(owner: Owner) -> int:
+    """Submits short and filling jobs; returns the number of short ones."""
     number = 0
-    while number < _SECONDS * _JOBS_A_SECOND:
+    while number < _SECONDS * _JOBS_PER_SECOND:
         await owner.desk.submit(f"quick{number}", QUEUE, quick_job())
         await owner.desk.submit(f"fill{number}", QUEUE, filling_job(number))
         number += 1
-        await trio.sleep(1 / _JOBS_A_SECOND)
+        await trio.sleep(1 / _JOBS_PER_SECOND)
     return number
 
 
@@ -132,4 +133,4 @@
 
 
 def test_a_large_cell_bears_crashes_restarts_and_changing_capacity() -> None:
-    run_on_slow_vm(2.0, _play)
+    run_on_slow_vm(2.0, _run_large_cell)
--- a/tests/test_listing_pace.py
+++ b/tests/test_listing_pace.py
@@ -1,10 +1,10 @@
-"""How much of the owner's thread listings take.
+"""Tests that listings of workers take a limited share of the owner's thread.
 
-Every worker was asked what runs there once a second, twice where tasks that
-serve and tasks that fill share it, however many workers there are and however
-slow the owner's VM. A listing costs 0.3 to 0.5 ms of a core at the owner's end:
-with 246 workers up to a quarter of the thread, on a VM a quarter as fast all
-of it.
+Guards against a fixed listing interval: once a second, or twice where serving
+and filling tasks share a worker, however many workers there are and however
+slow the owner's VM is. A listing costs the owner 0.3 to 0.5 ms of a core. With
+246 workers that is up to a quarter of the thread, and all of it on a VM a
+quarter as fast.
 """
 
 from unittest import mock
@@ -28,11 +28,11 @@
 _WORKERS = 60
 _JOBS = 8
 _SECONDS = 8.0
-# Processor seconds that taking in one listing is made to cost: 0.3 of the time
-# at a listing a second.
+# Processor seconds charged for each listing: 0.3 of the thread at one listing a
+# second and worker.
 _LISTING_COST = 0.005
 _SHARE_MOST = 0.25
-# Renewals a lease, so that a lost one or two don't matter.
+# Renewals per lease, so that one or two may be lost.
 _RENEWALS_LEAST = 2
 
 
@@ -46,15 +46,15 @@
     platform = CellPlatform(StoreStandin().client("a"), access, access)
     owner = Owner(Claim("jobs", 1, True), platform, lambda: CONFIG)
     listed = 0
-    real = Learned.on_listed
+    original = Learned.on_listed
 
-    def charged(self: Learned, worker: Worker) -> None:
+    def charge_listing(self: Learned, worker: Worker) -> None:
         nonlocal listed
         listed += 1
         clock.charge(_LISTING_COST / clock.factor)
-        real(self, worker)
+        original(self, worker)
 
-    with mock.patch.object(Learned, "on_listed", charged):
+    with mock.patch.object(Learned, "on_listed", charge_listing):
         async with running(owner):
             for number in range(_JOBS):
                 job = f"last{number}"
--- a/tests/test_new_workers.py
+++ b/tests/test_new_workers.py
@@ -1,7 +1,8 @@
-"""Workers that come empty take what waits, while the others are crowded.
+"""Tests that new empty workers get queued tasks while the others are crowded.
 
-Users saw new workers stay untouched while what serves crowded the halls that
-they had before: tasks that fill waited for room there, and answers came late.
+Guards against new workers that stay unused: serving tasks crowded the workers
+that were there before, filling tasks waited for capacity on these, and
+responses were late.
 """
 
 from unittest import mock
@@ -35,34 +36,40 @@
 
 _WORKERS = 24
 _NEW_WORKERS = 6
-_SEAT = Size(2400, 1000, 0)
-_FILLER = Size(1000, 500, 0)
+_SERVING_SIZE = Size(2400, 1000, 0)
+_FILLER_SIZE = Size(1000, 500, 0)
 _FILLER_SECONDS = 1.0
-_WIDTH = 14
-# Seconds of the load after which the new workers come, and after which it ends.
-_CROWDED = 6.0
-_AFTER = 12.0
-_ARRIVALS = 0.1
+_FILLERS_PER_JOB = 14
+# Seconds of load before and after the new workers are added.
+_CROWDED_SECONDS = 6.0
+_SECONDS_AFTER = 12.0
+_ARRIVAL_INTERVAL = 0.1
 
 
 def _plan(task: TaskName) -> TaskPlan:
     if task.job.startswith("fill"):
         return TaskPlan(_FILLER_SECONDS, Size(0, 500, 0))
-    return TaskPlan(LASTS, _SEAT)
+    return TaskPlan(LASTS, _SERVING_SIZE)
 
 
 async def _submit_fillers(owner: Owner, sent: dict[str, float]) -> None:
-    """Asks for more than the crowded workers leave to tasks that fill."""
+    """Submits more filling tasks than the crowded workers have room for."""
     while True:
         job = f"fill{len(sent)}"
         sent[job] = trio.current_time()
-        step = StepSpec(_WIDTH, _FILLER, _FILLER_SECONDS, image="x", fills=True)
+        step = StepSpec(
+            _FILLERS_PER_JOB,
+            _FILLER_SIZE,
+            _FILLER_SECONDS,
+            image="x",
+            fills=True,
+        )
         await owner.desk.submit(job, QUEUE, spec(step))
-        await trio.sleep(_ARRIVALS)
+        await trio.sleep(_ARRIVAL_INTERVAL)
 
 
-async def _play(hall: WorkerHall, sent: dict[str, float]) -> float:
-    """Returns when the new workers came."""
+async def _run_load(hall: WorkerHall, sent: dict[str, float]) -> float:
+    """Runs the load; returns when the new workers were added."""
     store, learned = StoreStandin(), Learned()
     learned.disturbance.restore([Pair("serves", "x", 0.0, 0.01)], 0.0)
     record = Record(records.LEARNED, learned.encode())
@@ -74,7 +81,7 @@
         ):
             serves = StepSpec(
                 3 * _WORKERS,
-                _SEAT,
+                _SERVING_SIZE,
                 lasting=True,
                 image="serves",
                 target_tail=20,
@@ -82,16 +89,16 @@
             await owner.desk.submit("serves", QUEUE, spec(serves))
             await trio.sleep(3.0)
             nursery.start_soon(_submit_fillers, owner, sent)
-            await trio.sleep(_CROWDED)
-            came_at = trio.current_time()
+            await trio.sleep(_CROWDED_SECONDS)
+            added_at = trio.current_time()
             for number in range(_WORKERS, _WORKERS + _NEW_WORKERS):
                 new = TaskWorkerStandin(
                     life(number), _plan, hall.journal, seed=number
                 )
                 hall.add(new)
-            await trio.sleep(_AFTER)
+            await trio.sleep(_SECONDS_AFTER)
             nursery.cancel_scope.cancel()
-    return came_at
+    return added_at
 
 
 def _starts(
@@ -118,22 +125,22 @@
 def test_new_workers_carry_their_share_within_seconds() -> None:
     hall = make_hall(_WORKERS, _plan)
     sent: dict[str, float] = {}
-    came_at = 0.0
+    added_at = 0.0
 
     async def play() -> None:
-        nonlocal came_at
-        came_at = await _play(hall, sent)
+        nonlocal added_at
+        added_at = await _run_load(hall, sent)
 
     run_virtual(play)
-    before = _starts(hall.journal, came_at - 2.0, came_at)
-    soon = _starts(hall.journal, came_at + 1.0, came_at + 3.0)
-    after = _starts(hall.journal, came_at + 5.0, came_at + 8.0)
-    # A new worker has more room left than a crowded one: its share is more
-    # than that of its number.
-    share = sum(map(_is_new, soon)) / len(soon)
+    before = _starts(hall.journal, added_at - 2.0, added_at)
+    shortly_after = _starts(hall.journal, added_at + 1.0, added_at + 3.0)
+    after = _starts(hall.journal, added_at + 5.0, added_at + 8.0)
+    # A new worker has more free capacity than a crowded one, so the new ones
+    # get more than their share of the worker count.
+    share = sum(map(_is_new, shortly_after)) / len(shortly_after)
     assert share >= _NEW_WORKERS / (_WORKERS + _NEW_WORKERS), share
     crowded, relieved = _wait_at_99(before, sent), _wait_at_99(after, sent)
     assert crowded > 0.3, crowded
     assert relieved < crowded, (relieved, crowded)
-    # Nothing that serves was moved to where nothing has to be opened.
+    # No serving task was moved away: the new workers had room already.
     assert not any(event.what == "stopped" for event in hall.journal)
--- a/tests/test_restarted_workers.py
+++ b/tests/test_restarted_workers.py
@@ -1,4 +1,4 @@
-"""Workers that start again under the id that they had."""
+"""Tests of workers that restart under the same id."""
 
 from collections.abc import AsyncIterator, Sequence
 from contextlib import asynccontextmanager
@@ -42,7 +42,7 @@
 
 
 @asynccontextmanager
-async def _owned_cell(
+async def _run_cell(
     store: StoreStandin | None = None,
 ) -> AsyncIterator[tuple[Owner, WorkerHall]]:
     hall = make_hall(_WORKERS, _plan)
@@ -51,7 +51,7 @@
 
 
 async def _submit_stream(owner: Owner, first: int, count: int) -> list[str]:
-    """Submits jobs of two steps of three tasks, ten a second."""
+    """Submits jobs of two steps with three tasks each, ten jobs a second."""
     jobs = [f"job{number}" for number in range(first, first + count)]
     for job in jobs:
         await owner.desk.submit(job, QUEUE, chain(3, 2))
@@ -68,24 +68,24 @@
     )
 
 
-def _check(hall: WorkerHall) -> None:
+def _check_journal(hall: WorkerHall) -> None:
     assert not find_twice(hall.journal), find_twice(hall.journal)[:3]
     assert not find_again(hall.journal), find_again(hall.journal)[:3]
 
 
 async def test_ends_of_a_restarted_worker_are_not_dropped() -> None:
-    async with _owned_cell() as (owner, hall):
+    async with _run_cell() as (owner, hall):
         jobs = await _submit_stream(owner, 0, 40)
         for worker in hall.workers.values():
             worker.restart()
         jobs += await _submit_stream(owner, 40, 40)
         await trio.sleep(10)
-        _check(hall)
+        _check_journal(hall)
         await _wait_done(owner, jobs, 1)
 
 
 async def test_what_lasts_is_back_soon_after_its_worker_restarted() -> None:
-    async with _owned_cell() as (owner, hall):
+    async with _run_cell() as (owner, hall):
         await _submit_stream(owner, 0, 20)
         step = StepSpec(12, SMALL, lasting=True)
         await owner.desk.submit("last", QUEUE, spec(step))
@@ -100,11 +100,11 @@
         await trio.sleep(10)
         assert count(hall.journal, "lapsed") == 0
         assert count(hall.journal, "start") == started + lost
-        _check(hall)
+        _check_journal(hall)
 
 
 async def test_a_restart_is_known_before_the_directory_tells() -> None:
-    async with _owned_cell() as (owner, hall):
+    async with _run_cell() as (owner, hall):
         jobs = await _submit_stream(owner, 0, 20)
         for life_id, worker in hall.workers.items():
             hall.stale[life_id] = worker.life
@@ -114,7 +114,7 @@
         hall.stale.clear()
         jobs += await _submit_stream(owner, 40, 20)
         await _wait_done(owner, jobs, 5)
-        _check(hall)
+        _check_journal(hall)
 
 
 async def test_a_new_owner_meets_the_next_lives_of_its_workers() -> None:
@@ -128,30 +128,30 @@
             worker.restart()
     async with running(make_owner(store, hall, 9)) as owner:
         await _wait_done(owner, jobs, 15)
-    _check(hall)
+    _check_journal(hall)
 
 
-async def _restart_often(hall: WorkerHall, draw: random.Random) -> None:
+async def _restart_often(hall: WorkerHall, rng: random.Random) -> None:
     while True:
-        await trio.sleep(draw.uniform(0.05, 1.0))
-        worker = draw.choice(list(hall.workers.values()))
-        if draw.random() < 0.5:
+        await trio.sleep(rng.uniform(0.05, 1.0))
+        worker = rng.choice(list(hall.workers.values()))
+        if rng.random() < 0.5:
             worker.restart()
             continue
         worker.crash()
         worker.down = True
-        await trio.sleep(draw.uniform(0.05, 1.5))
+        await trio.sleep(rng.uniform(0.05, 1.5))
         worker.restart()
 
 
-async def _play(seed: int) -> None:
-    """Plays restarts in series, with orders that are carried out late."""
-    draw = random.Random(seed)
-    async with _owned_cell() as (owner, hall):
+async def _run_restarts(seed: int) -> None:
+    """Restarts workers in series, with lost orders and late ones."""
+    rng = random.Random(seed)
+    async with _run_cell() as (owner, hall):
         for worker in hall.workers.values():
             worker.faults.late = worker.faults.lost = 0.05
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_restart_often, hall, draw)
+            nursery.start_soon(_restart_often, hall, rng)
             jobs = await _submit_stream(owner, 0, 100)
             nursery.cancel_scope.cancel()
         for worker in hall.workers.values():
@@ -161,8 +161,9 @@
         await wait_until(
             lambda: all(owner.desk.state(job).state in TERMINAL for job in jobs)
         )
-        _check(hall)
-        # Users let a task be given up under which two workers have crashed.
+        _check_journal(hall)
+        # Users accept that a task is given up once two workers have crashed
+        # under it.
         lost = [
             job
             for job in jobs
@@ -174,7 +175,7 @@
 
 def test_restarts_in_series_break_no_promise() -> None:
     for seed in range(6):
-        run_virtual(lambda s=seed: _play(s), seed)  # type: ignore[misc]
+        run_virtual(lambda s=seed: _run_restarts(s), seed)  # type: ignore[misc]
 
 
 def test_a_restarted_worker_knows_nothing_of_its_former_life() -> None:
@@ -185,7 +186,7 @@
         worker.take_hold(7, 0, None)
         worker.restart()
         assert worker.life.born > born
-        # A lower token is no longer refused, and the clock starts anew.
+        # A lower token is accepted again, and the clock starts at zero.
         worker.take_hold(1, 0, None)
         assert worker.listing().clock < 1.0
 
@@ -193,8 +194,8 @@
 
 
 async def test_ends_of_a_life_that_nobody_has_met_are_not_forgotten() -> None:
-    # The answer to a listing is lost, and its worker restarts meanwhile: the
-    # next listing is the first that the next life hears.
+    # The answer to a listing is lost and the worker restarts meanwhile. The
+    # next listing request is the first one that the new life receives.
     hall = make_hall(1, lambda _: TaskPlan(0.1, SMALL))
     worker = next(iter(hall.workers.values()))
     async with running(make_owner(StoreStandin(), hall, 1)) as owner:
@@ -207,15 +208,15 @@
         worker.restart()
         await owner.desk.submit("job1", QUEUE, chain(8, 1))
         await _wait_done(owner, ["job1"], 5)
-    _check(hall)
+    _check_journal(hall)
 
 
 def test_a_late_start_on_a_life_that_nobody_has_met_runs_nothing_twice() -> (
     None
 ):
-    # Nothing fences it there: the life has heard no token, and its clock is
-    # behind every deadline.
-    run_virtual(lambda: _play(31), 31)
+    # Nothing fences a late start there: the new life has received no token, and
+    # its clock is behind every deadline.
+    run_virtual(lambda: _run_restarts(31), 31)
 
 
 def test_the_birth_of_a_life_is_read_from_its_entry_and_its_lists() -> None:
@@ -234,5 +235,5 @@
         listed = {"clock_ms": 5, "running": rows, "born": born}
         assert read_hold(msgspec.json.encode(listed)).born == born
     assert read_hold(b'{"clock_ms":5,"born":7.0}').born == 7
-    # A platform that doesn't tell has one life an id.
+    # A platform that doesn't report `born` has one life per id.
     assert read_hold(b'{"clock_ms":5}').born == 0
