--- a/pimentocross/owner/call_timeouts.py
+++ b/pimentocross/owner/call_timeouts.py
@@ -18,12 +18,13 @@
 # Times that a call waits for the event loop: to get a connection, to send the
 # request and to read the answer.
 _WAITS_PER_CALL: Final = 3
-# Stalls recur: passes follow each other, and jobs are swept every 5 s.
+# Seconds for which lateness counts. Stalls recur: passes follow each other, and
+# jobs are swept every 5 s.
 _LATENESS_WINDOW: Final = 5.0
-# Lateness beyond the allowed extra time that may make a call fail: a quarter of
-# the time that it may take.
+# Seconds of lateness beyond the expected lateness that may make a call fail: a
+# quarter of the time that it may take.
 _SPOILING_LATENESS: Final = const.HOLD_SLACK / 4
-# Least time left of a lease when the call that requests it times out.
+# Least seconds left of a lease when the call that requests it times out.
 _LEASE_LEFT: Final = 1.0
 # Most seconds since the last reply of a worker after which a failed call is
 # blamed on own lateness: a call of the usual length and a stall of a second.
@@ -78,8 +79,8 @@
             return False
         if now - last_reply_at > _REPLY_AGE_MOST:
             return False
-        allowed = (timeout - wait - const.HOLD_SLACK) / _WAITS_PER_CALL
-        return self._lateness.since(sent_at) >= allowed + _SPOILING_LATENESS
+        expected = (timeout - wait - const.HOLD_SLACK) / _WAITS_PER_CALL
+        return self._lateness.since(sent_at) >= expected + _SPOILING_LATENESS
 
     def _extra_time(self, now: float) -> float:
         return _WAITS_PER_CALL * self._lateness.between(
--- a/pimentocross/owner/keeper.py
+++ b/pimentocross/owner/keeper.py
@@ -170,7 +170,7 @@
         left = self._worker.lapses_at - now
         if self._worker.reachable or left <= 0:
             return timeout
-        # Runs on an unreachable worker are given up as soon as leases ended.
+        # Runs on an unreachable worker are given up once their leases ended.
         return min(timeout, max(left, wait + const.HOLD_SLACK))
 
     def _is_own_lateness(
--- a/pimentocross/owner/worker.py
+++ b/pimentocross/owner/worker.py
@@ -370,7 +370,8 @@
     def lived(self, run: Run) -> float:
         """Returns for how many seconds a run is known to have lived here.
 
-        Returns 0 for a run that was never listed, as it may not have begun.
+        A run that this owner never saw listed may not have begun: only the time
+        that a former owner recorded counts for it.
         """
         if not run.began_at:
             return run.lived_before
