--- a/pimentocross/owner/capacity_reserve.py
+++ b/pimentocross/owner/capacity_reserve.py
@@ -48,7 +48,7 @@
         short_cpu = sum(
             count * step.spec.size.cpu
             for worker in workers
-            for step, count in worker.brief().items()
+            for step, count in worker.short_run_counts().items()
             if is_short(step)
         )
         waiting = sum(
--- a/pimentocross/owner/crashes.py
+++ b/pimentocross/owner/crashes.py
@@ -117,7 +117,7 @@
         """Records the runs that may have crashed a worker that went silent."""
         # A draining worker is expected to leave. What ran on a worker that
         # never answered this owner is known to the former owner alone.
-        if worker.life.draining or worker.heard_at == float("-inf"):
+        if worker.life.draining or worker.last_reply_at == float("-inf"):
             return
         rows = [
             DoubtRow(
@@ -288,7 +288,7 @@
             return True
         return any(
             other.life.rack == rack
-            and not other.reached
+            and not other.reachable
             and not other.gone
             and other.was_up
             and other is not worker
@@ -356,7 +356,7 @@
 
 def _ended_at(worker: Worker) -> float:
     """Returns the latest monotonic time at which a worker may have ended."""
-    return trio.current_time() if worker.reached else worker.silent_at
+    return trio.current_time() if worker.reachable else worker.silent_since
 
 
 def _is_unconfirmed(run: Run) -> bool:
--- a/pimentocross/owner/former_leases.py
+++ b/pimentocross/owner/former_leases.py
@@ -168,13 +168,13 @@
         """
         if not worker.barred:
             worker.barred = True
-            worker.cleared = trio.Event()
+            worker.unbar_recorded = trio.Event()
             self.record()
 
     def clear(self, worker: Worker) -> None:
         """Lifts the bar. The worker is usable once the new record is stored."""
         worker.barred = False
-        worker.cleared = self.record()
+        worker.unbar_recorded = self.record()
 
     def record(self) -> trio.Event:
         """Writes the record; returns an event that is set once it is stored."""
@@ -191,7 +191,11 @@
 
     def _longest_lease(self, ended: bool) -> float:
         """Returns the most seconds that leases of a former owner may last."""
-        return self._terms.lease_most if ended else self._terms.loud_for
+        return (
+            self._terms.lease_most
+            if ended
+            else self._terms.unreleased_lease_most
+        )
 
     def _encode(self) -> bytes:
         rows = list(self._list_rows())
--- a/pimentocross/owner/owner.py
+++ b/pimentocross/owner/owner.py
@@ -17,6 +17,7 @@
 from pimentocross.observe.lateness import LoopLateness
 from pimentocross.owner import const
 from pimentocross.owner.admission import Admission
+from pimentocross.owner.call_timeouts import CallTimeouts
 from pimentocross.owner.collector import survivors_left_out, uncollected
 from pimentocross.owner.context import OwnerContext
 from pimentocross.owner.crashes import Crashes
@@ -31,7 +32,6 @@
 from pimentocross.owner.listing_pace import ListingPace
 from pimentocross.owner.lived_runs import LivedRuns
 from pimentocross.owner.orders import Orders
-from pimentocross.owner.patience import CallPatience
 from pimentocross.owner.resent_starts import ResentStarts
 from pimentocross.owner.roster import Roster, RosterParts
 from pimentocross.owner.silent_lives import SilentLives
@@ -260,7 +260,7 @@
         return OwnerContext(
             self.epoch,
             terms,
-            CallPatience(self.lateness, terms.lease),
+            CallTimeouts(self.lateness, terms.lease),
             ListingPace(self.lateness, terms.lease, self._roster.__len__),
             self._book,
             self._ledger,
--- a/pimentocross/owner/run_control.py
+++ b/pimentocross/owner/run_control.py
@@ -13,7 +13,7 @@
 from pimentocross.owner.learned import Learned
 from pimentocross.owner.orders import Orders
 from pimentocross.owner.roster import Roster
-from pimentocross.owner.worker import AT_WORK, Worker
+from pimentocross.owner.worker import AT_WORK_PERCENT, Worker
 from pimentocross.placement.hosts import MAX_HARM
 from pimentocross.placement.pacing import (
     MOVE_MAX_PACE,
@@ -118,7 +118,7 @@
         ):
             task.failed_on.add(worker.number)
             return "the worker is unsound"
-        if worker.reached and is_stalled(task, run, worker.heard_at):
+        if worker.reachable and is_stalled(task, run, worker.last_reply_at):
             self._learned.hold_against(worker, task)
             task.failed_on.add(worker.number)
             return "no progress"
@@ -128,7 +128,7 @@
         """Returns whether a run on an unsound worker should be moved."""
         spec = task.step.spec
         if spec.lasting:
-            return run.percent >= AT_WORK and may_evict_task(task.step)
+            return run.percent >= AT_WORK_PERCENT and may_evict_task(task.step)
         for measured in self._learned.progress(worker):
             if measured.run is run:
                 progress = measured.progress
@@ -151,7 +151,7 @@
     def _pace_fillers(self, worker: Worker, orders: Orders, now: float) -> None:
         is_settled = now - worker.paced_at >= SETTLING_SECONDS
         if worker.filled and (
-            is_settled or worker.over_for(now) >= STOP_AFTER_SECONDS
+            is_settled or worker.seconds_over_target(now) >= STOP_AFTER_SECONDS
         ):
             self._pace_fillers_on(worker, orders, now)
 
--- a/tests/pass_fixtures.py
+++ b/tests/pass_fixtures.py
@@ -73,7 +73,7 @@
         """Yields all workers."""
         yield from self._workers
 
-    def runs_away(self) -> Iterator[tuple[Task, Run]]:
+    def unreachable_runs(self) -> Iterator[tuple[Task, Run]]:
         """Yields no runs: no worker is out of contact."""
         yield from ()
 
--- a/tests/test_owner_rules.py
+++ b/tests/test_owner_rules.py
@@ -49,7 +49,7 @@
 
 def test_leases_are_waited_for() -> None:
     def never_waits(self: Worker, now: float) -> bool:
-        return not self.reached
+        return not self.reachable
 
     with mock.patch.object(Worker, "lapsed", never_waits):
         _assert_breaks_within_seeds("waiting for leases")
@@ -73,15 +73,19 @@
 
 
 def test_endings_are_recorded_before_they_are_noted() -> None:
-    real = keeper.Keeper._note_endings
+    real = keeper.LeaseKeeper._note_endings
 
     async def without_waiting(
-        self: keeper.Keeper, newest: int, batch: object
+        self: keeper.LeaseKeeper, newest: int, batch: object
     ) -> None:
-        self._worker.seen = max(self._worker.seen, newest)
+        self._worker.newest_stored_ending = max(
+            self._worker.newest_stored_ending, newest
+        )
         await real(self, newest, None)
 
-    with mock.patch.object(keeper.Keeper, "_note_endings", without_waiting):
+    with mock.patch.object(
+        keeper.LeaseKeeper, "_note_endings", without_waiting
+    ):
         with mock.patch.object(const, "BATCH_PAUSE", 1.5):
             _assert_breaks_within_seeds("recording before noting")
 
