--- a/pimentocross/gateway/caller_desk.py
+++ b/pimentocross/gateway/caller_requests.py
@@ -1,4 +1,4 @@
-"""What callers ask of an entry VM, and what they are told."""
+"""Handles callers' requests on an entry VM: submit, query and cancel jobs."""
 
 from enum import StrEnum
 from typing import NamedTuple, Protocol
@@ -28,10 +28,10 @@
 
 
 class AnswerKind(StrEnum):
-    """What a caller is told.
+    """Kind of answer to a caller's request.
 
-    `NOT_ACCEPTED` and `FULL` promise that the job never runs; after `UNKNOWN`
-    it may.
+    `NOT_ACCEPTED` and `FULL` guarantee that the job never runs; after
+    `UNKNOWN` it may still run.
     """
 
     ACCEPTED = "accepted"
@@ -47,7 +47,15 @@
 
 
 class Answer(NamedTuple):
-    """An answer to a caller; `retry_after` in seconds, 0 for none."""
+    """The answer to a caller's request.
+
+    Attributes:
+        kind: Kind of answer.
+        state: State of the job, or None if the answer has none.
+        pending: Number of jobs that wait in the queue; only for `PENDING`.
+        reason: Why the request failed, or "".
+        retry_after: Seconds after which the caller should retry, or 0.
+    """
 
     kind: AnswerKind
     state: JobState | None = None
@@ -56,58 +64,68 @@
     retry_after: float = 0.0
 
 
-class Place(NamedTuple):
-    """A queue and what of the path follows its prefix."""
+class QueuePath(NamedTuple):
+    """A request path, split into its queue and the rest.
+
+    Attributes:
+        queue: Queue whose prefix the path begins with.
+        rest: What follows the prefix: the job's id, or "" for the queue.
+    """
 
     queue: Queue
     rest: str
 
 
 class ConfigAccess(Protocol):
-    """The configuration in force on this VM; see `ConfigFollower`."""
+    """Access to the configuration on this VM; see `ConfigFollower`."""
 
     @property
     def config(self) -> WorkConfig | None:
         """The configuration in force, or None before the first."""
         ...
 
-    async def make_current(self) -> bool:
-        """Returns whether no change that has to be in force can be missing."""
+    async def ensure_current(self) -> bool:
+        """Returns whether the copy has every change that must be in force."""
         ...
 
 
 class OwnerAccess(Protocol):
-    """Reaches the cell's owner, here or on another VM."""
+    """Sends requests to the cell's owner, on this VM or another one."""
 
     async def ask_owner(
         self, message: GatewayMessage, timeout: float
     ) -> GatewayMessage:
-        """Asks the owner.
+        """Sends a request to the owner and returns its reply.
+
+        Args:
+            message: The request.
+            timeout: Seconds to wait for the reply.
 
         Raises:
-            PeerUnreachableError: No answer; `sent` tells what that means.
+            PeerUnreachableError: There was no reply. If `sent` is set, the
+                owner may have handled the request all the same.
         """
         ...
 
     def owner_absent(self) -> float:
-        """Returns for how many seconds no owner could be asked."""
+        """Returns for how many seconds no owner has been reachable."""
         ...
 
     async def store_answers(self) -> bool:
-        """Returns whether the store answers this VM now."""
+        """Returns whether the store currently answers this VM."""
         ...
 
 
-class CallerDesk:
-    """Finds the queue, asks the owner, and words the answer.
+class CallerRequestHandler:
+    """Forwards callers' requests to the cell's owner and builds the answers.
 
     Attributes:
         draining: Whether this VM is about to stop.
-        histograms: How long submissions took, by queue.
+        histograms: Latencies of submissions, by queue.
     """
 
     def __init__(self, configs: ConfigAccess, owner: OwnerAccess) -> None:
-        """Takes the configuration in force and how the owner is reached."""
+        """Initializes the handler with `draining` unset."""
         self.draining = False
         self.histograms = Histograms()
         self._returns = ReturnTimes()
@@ -115,20 +133,20 @@
         self._owner = owner
 
     def ready(self) -> bool:
-        """True if this VM should get new callers."""
+        """Returns whether the load balancer should send callers to this VM."""
         if self.draining or self._configs.config is None:
             return False
         return self._owner.owner_absent() < const.READY_WITHOUT_OWNER
 
-    async def find(self, host: str, path: str) -> Place | Answer:
-        """Returns the queue of a path, or what to answer without one."""
+    async def find(self, host: str, path: str) -> QueuePath | Answer:
+        """Returns the queue of a path, or the answer if there is none."""
         if self._configs.config is None:
             return self._not_accepted("no configuration yet")
         place = self._place(host, path)
         if place is not None:
             return place
-        # A copy that isn't fresh may lack a route that was just confirmed.
-        current = await self._configs.make_current()
+        # A copy that is not fresh may lack a route confirmed a moment ago.
+        current = await self._configs.ensure_current()
         place = self._place(host, path)
         if place is not None:
             return place
@@ -139,7 +157,7 @@
         note("no_such_queue", host=host, version=version)
         return Answer(AnswerKind.NO_SUCH_QUEUE)
 
-    def _place(self, host: str, path: str) -> Place | None:
+    def _place(self, host: str, path: str) -> QueuePath | None:
         config = self._configs.config
         queue = config.find_queue(host, path) if config is not None else None
         if queue is None:
@@ -147,17 +165,18 @@
         rest = path[len(queue.prefix) :]
         if len(rest.encode()) > const.JOB_ID_BYTES_MOST:
             return None
-        return Place(queue, rest)
+        return QueuePath(queue, rest)
 
     async def submit(
-        self, place: Place, spec: JobSpec, deadline: float
+        self, place: QueuePath, spec: JobSpec, deadline: float
     ) -> Answer:
-        """Submits a job; `deadline` is how long the caller waits.
+        """Submits a job; `deadline` is how many seconds the caller waits.
 
-        The owner may go while it is asked, or be cut off from the store. Its
-        caller could then be told neither that the job runs nor that it never
-        will, so its successor is asked again: the same id is the same job. It
-        is not waited for while the store is away from this VM, too.
+        If the owner ends or loses the store during the request, it is not known
+        whether the job will run. The request is then repeated until a new owner
+        accepts the job, which is safe because the job's id makes submissions
+        idempotent. If this VM can't reach the store either, the request is not
+        repeated.
         """
         message = SubmitJob(place.rest, place.queue, spec)
         timeout = deadline * const.OWNER_SHARE
@@ -170,20 +189,24 @@
                 break
             await trio.sleep(const.ASK_AGAIN_PAUSE)
             left = max(until - trio.current_time(), 0.0)
-            again = await self._submit_once(
+            retried = await self._submit_once(
                 place, message, min(left, const.ASK_AGAIN_MOST), left
             )
-            # A refusal says nothing of what was asked before.
-            if again.kind is AnswerKind.ACCEPTED:
-                answer = again
+            # A refusal does not tell what came of the earlier request.
+            if retried.kind is AnswerKind.ACCEPTED:
+                answer = retried
         return answer
 
     async def _submit_once(
-        self, place: Place, message: SubmitJob, timeout: float, most: float
+        self,
+        place: QueuePath,
+        message: SubmitJob,
+        timeout: float,
+        max_wait: float,
     ) -> Answer:
         asked_at = trio.current_time()
         try:
-            reply = await self._ask_within(message, timeout, most)
+            reply = await self._ask_within(message, timeout, max_wait)
         except PeerUnreachableError as error:
             return self._unanswered(place.rest, error)
         took = trio.current_time() - asked_at
@@ -194,13 +217,13 @@
             if reply.outcome is Outcome.UNSURE:
                 return self._unsure(reply)
         if isinstance(reply, FullAnswer):
-            return self._with_return(
+            return self._with_retry_after(
                 AnswerKind.FULL, Outcome.FULL.value, reply.retry_after
             )
         return self._refused(place.rest, reply)
 
-    async def look(self, host: str, path: str, deadline: float) -> Answer:
-        """Tells a job's state, or how many wait in a queue."""
+    async def query(self, host: str, path: str, deadline: float) -> Answer:
+        """Returns a job's state, or how many jobs wait in a queue."""
         place = await self.find(host, path)
         if isinstance(place, Answer):
             return place
@@ -235,14 +258,20 @@
         return await self._ask_within(message, timeout, timeout)
 
     async def _ask_within(
-        self, message: GatewayMessage, timeout: float, most: float
+        self, message: GatewayMessage, timeout: float, max_wait: float
     ) -> GatewayMessage:
-        """Asks the owner for a time, and for longer what does without it.
+        """Sends a request to the owner and returns the reply.
+
+        Args:
+            message: The request.
+            timeout: Seconds to wait for the owner.
+            max_wait: Seconds after which this call gives up, also if the
+                request is then being stored or forwarded without the owner.
 
         Raises:
-            PeerUnreachableError: No answer, as once the most time is over.
+            PeerUnreachableError: There was no reply in time.
         """
-        with trio.move_on_after(most):
+        with trio.move_on_after(max_wait):
             return await self._owner.ask_owner(message, timeout)
         raise PeerUnreachableError("no answer in time", sent=True)
 
@@ -268,24 +297,27 @@
         return self._unavailable(_reason(reply))
 
     def _not_accepted(self, reason: str) -> Answer:
-        return self._with_return(AnswerKind.NOT_ACCEPTED, reason)
+        return self._with_retry_after(AnswerKind.NOT_ACCEPTED, reason)
 
     def _unavailable(self, reason: str) -> Answer:
-        return self._with_return(AnswerKind.UNAVAILABLE, reason)
+        return self._with_retry_after(AnswerKind.UNAVAILABLE, reason)
 
     def _unsure(self, reply: JobAnswer) -> Answer:
-        """Words an open outcome: asked at once again, it is no clearer."""
-        return self._with_return(AnswerKind.UNKNOWN, reply.outcome.value)
+        """Returns the answer for an unknown outcome, with a time to retry.
+
+        An immediate retry would not find out more.
+        """
+        return self._with_retry_after(AnswerKind.UNKNOWN, reply.outcome.value)
 
-    def _with_return(
+    def _with_retry_after(
         self, kind: AnswerKind, reason: str, earliest: float = 0.0
     ) -> Answer:
-        """Words an answer that tells when to come back.
+        """Returns an answer that tells the caller when to retry.
 
         Args:
-            kind: What it says.
-            reason: Why.
-            earliest: Seconds before which it surely is no better, or 0.
+            kind: Kind of answer.
+            reason: Why the request failed.
+            earliest: Seconds before which a retry would surely fail, or 0.
         """
         seconds = self._returns.assign(earliest, trio.current_time())
         return Answer(kind, reason=reason, retry_after=seconds)
--- a/pimentocross/gateway/config_follower.py
+++ b/pimentocross/gateway/config_follower.py
@@ -1,4 +1,4 @@
-"""Follows the operators' configuration and knows how old its copy may be."""
+"""Keeps a copy of the operators' configuration and tracks its age."""
 
 from typing import Final, NamedTuple, Protocol
 
@@ -13,18 +13,18 @@
 from pimentocross.observe.decisions import note
 from pimentocross.work.queue import Queue, WorkConfig
 
-# Within which a change is in force where nobody says otherwise, in seconds.
-_WITHIN: Final = 2.0
+# Seconds within which a change must be in force.
+_DEFAULT_APPLY_WITHIN: Final = 2.0
 
 
 class ConfigNews(NamedTuple):
-    """What a source answered.
+    """A source's reply to a request for the configuration.
 
     Attributes:
         config: The newest configuration, or None if it hasn't changed.
-        known_at: Until when nothing newer was there, monotonic; -inf if there
-            may be something newer.
-        asked_at: When the question that was answered was sent, monotonic.
+        known_at: Time at which there surely was nothing newer, monotonic; -inf
+            if there may be something newer.
+        asked_at: Time at which the answered request was sent, monotonic.
         evacuated: All availability zones that are evacuated.
     """
 
@@ -35,7 +35,7 @@
 
 
 class ConfigSource(Protocol):
-    """Where operators publish the configuration."""
+    """The place where operators publish the configuration."""
 
     async def next_config(
         self,
@@ -44,13 +44,14 @@
         again_after: float,
         urgent: trio.Event | None,
     ) -> ConfigNews:
-        """Returns the newest configuration if there is news within `wait`.
+        """Returns the newest configuration if it changes within `wait`.
 
         Args:
-            wait: Seconds to wait for news.
-            timeout: Seconds beyond `wait` to wait for an answer.
-            again_after: Seconds after which the source is asked once more.
-            urgent: Once set, what is new is asked for at once.
+            wait: Seconds to wait for a change.
+            timeout: Seconds beyond `wait` to wait for a reply.
+            again_after: Seconds by which a reply may be overdue before the
+                request is sent once more.
+            urgent: Once set, the source is asked at once without a wait.
 
         Raises:
             StoreUnavailableError: The source did not answer.
@@ -59,26 +60,26 @@
 
 
 class ConfigFollower:
-    """The configuration in force on this VM.
+    """Keeps this VM's copy of the configuration up to date.
 
     Attributes:
-        away: Whether the source is known not to answer.
+        away: Whether the last request to the source failed or took too long.
         evacuations: The zones that operators have evacuated.
     """
 
     def __init__(
         self,
         source: ConfigSource,
-        within: float = _WITHIN,
+        within: float = _DEFAULT_APPLY_WITHIN,
         evacuated_within: float = float("inf"),
     ) -> None:
-        """Knows none yet; `run` follows the source.
+        """Initializes the follower without a configuration; `run` reads it.
 
         Args:
-            source: Where it is published.
-            within: Seconds after its acknowledgement within which a change
-                has to be in force.
-            evacuated_within: The same of an evacuation.
+            source: Where the configuration is published.
+            within: Seconds after its acknowledgement within which a change of
+                the configuration must be in force.
+            evacuated_within: The same for the evacuation of a zone.
         """
         self.away = False
         self.evacuations = Evacuations(evacuated_within)
@@ -102,28 +103,29 @@
         return self._config
 
     def age(self) -> float:
-        """Seconds since the copy in force was surely the newest, or inf."""
+        """Returns the seconds since this copy surely was the newest, or inf."""
         return trio.current_time() - self._known_at
 
-    async def make_current(self) -> bool:
-        """Returns whether no change that has to be in force can be missing.
+    async def ensure_current(self) -> bool:
+        """Returns whether the copy has every change that must be in force.
 
-        A copy that isn't fresh is looked up anew first, see `known_since`: it
-        may lack a change that was confirmed a moment ago. Where the source is
-        too slow for that, a copy counts until a change has to be in force.
+        A copy that isn't fresh may lack a change that was confirmed a moment
+        ago, so it is read again first, see `ensure_newest_since`. If the source
+        is too slow for that, the copy stays valid for most of the time within
+        which a change must be in force.
         """
         now = trio.current_time()
-        await self.known_since(now - self._fresh_within)
+        await self.ensure_newest_since(now - self._fresh_within)
         return self._known_at >= now - self._current_within
 
-    async def known_since(self, moment: float) -> bool:
-        """Returns whether the copy was surely the newest at a moment or later.
+    async def ensure_newest_since(self, moment: float) -> bool:
+        """Returns whether the copy surely was the newest at a given time.
 
-        If it wasn't, the source is asked now, once for all who wait. Nobody
-        waits for a source that is known not to answer.
+        If that isn't known, the copy is read again; concurrent calls share one
+        request. If the source is known not to answer, the call returns at once.
 
         Args:
-            moment: Monotonic, not later than now.
+            moment: Monotonic time, not in the future.
         """
         if self._known_at < moment and not self.away:
             with trio.move_on_after(const.CONFIG_LOOK_UP):
@@ -133,25 +135,29 @@
             self.away = self.away or self._known_at < moment
         return self._known_at >= moment
 
-    async def in_force(self, queue: Queue) -> Queue | None:
-        """Returns the newest form of a queue, or None if it was dropped.
+    async def current_queue(self, queue: Queue) -> Queue | None:
+        """Returns a queue as now configured, or None if it was removed.
 
-        Whoever took it from a copy of its own may have missed a change, as
-        while the store turns it away, or may know of one that isn't here yet.
+        Args:
+            queue: The queue as another VM knows it. That VM may have missed a
+                change, for example while the store refuses it, or may know of
+                one that has not arrived here yet.
         """
         asked_at = trio.current_time()
-        newest = self._find(queue.name)
+        newest = self._find_queue(queue.name)
         if newest is None:
-            dropped = await self.known_since(asked_at)
-            newest = self._find(queue.name) or (None if dropped else queue)
+            dropped = await self.ensure_newest_since(asked_at)
+            newest = self._find_queue(queue.name) or (
+                None if dropped else queue
+            )
         return newest
 
-    def _find(self, name: str) -> Queue | None:
+    def _find_queue(self, name: str) -> Queue | None:
         queues = self._config.queues if self._config is not None else ()
         return next((queue for queue in queues if queue.name == name), None)
 
     async def run(self) -> None:
-        """Follows the source for ever."""
+        """Reads the configuration from the source, forever."""
         while True:
             self._urgent = trio.Event()
             await self._ask()
@@ -164,7 +170,7 @@
         asked_at = trio.current_time()
         try:
             news = await self._source.next_config(
-                # What isn't there can't be waited for.
+                # Without a wait, so that a returning source answers at once.
                 0.0 if self.away else self._pace.wait,
                 const.FOLLOW_TIMEOUT,
                 self._again_after,
@@ -177,7 +183,7 @@
                 "config_unread",
                 reason=str(error),
                 waited=round(trio.current_time() - asked_at, 3),
-                age=self._told_age(),
+                age=self._age_to_log(),
             )
             return
         self.away = False
@@ -196,9 +202,9 @@
             version=config.version,
             queues=len(config.queues),
             waited=round(trio.current_time() - asked_at, 3),
-            age=self._told_age(),
+            age=self._age_to_log(),
         )
         self._config = config
 
-    def _told_age(self) -> float | None:
+    def _age_to_log(self) -> float | None:
         return round(self.age(), 3) if self._config is not None else None
--- a/pimentocross/gateway/intake.py
+++ b/pimentocross/gateway/intake.py
@@ -1,10 +1,10 @@
-"""Takes submissions in on an entry VM while no owner can be asked.
+"""Accepts submissions and cancels on an entry VM while no owner is reachable.
 
-Load pattern: callers submit at the usual rate while the owner is dead, cut off
-from the store, or being replaced, for seconds, and most VMs reach the store all
-the while. What such a VM stores is durable whoever owns the cell next, so the
-caller is told that its job is accepted, and the owner takes it up from there.
-Nothing is stored here as long as an owner answers.
+Load pattern: for seconds the owner is dead, cut off from the store, or being
+replaced. Callers submit at the usual rate meanwhile, and most VMs still reach
+the store. Such a VM stores the request durably and acknowledges it; whichever
+process owns the cell next reads it from the store and handles it. While an
+owner answers, nothing is stored here.
 """
 
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 import trio
 
 from pimentocross.contracts.store import Record, Store, StoreUnavailableError
-from pimentocross.gateway.caller_desk import OwnerAccess
+from pimentocross.gateway.caller_requests import OwnerAccess
 from pimentocross.gateway.intake_writer import IntakeWriter
 from pimentocross.gateway.messages import (
     CancelJob,
@@ -33,62 +33,63 @@
 from pimentocross.work.queue import Queue
 from pimentocross.work.state import JobState
 
-# An owner that owes an answer and was not heard for this long is not waited
-# for, seconds: more than two of its heartbeats are missing.
-OWNER_SILENCE: Final = 0.7
-# How often it is looked whether it was heard, seconds.
-_LOOK: Final = 0.1
-# What another VM waits for has to come within this, seconds: it waits for
-# little more.
+# Seconds without contact after which an open request to the owner is given up:
+# more than two of its heartbeats are missing.
+OWNER_SILENCE_TIMEOUT: Final = 0.7
+# Seconds between checks for contact with the owner.
+_SILENCE_CHECK_INTERVAL: Final = 0.1
+# Seconds that the owner has to answer a request forwarded by another VM, which
+# itself waits little longer.
 _PEER_TIMEOUT: Final = 0.3
 
-_Kept: TypeAlias = SubmitJob | CancelJob
+_StorableRequest: TypeAlias = SubmitJob | CancelJob
 
 
 class CurrentConfig(Protocol):
-    """Knows whether the configuration here is in force; see `ConfigAccess`."""
+    """Access to the configuration on this VM; see `ConfigFollower`."""
 
-    async def make_current(self) -> bool:
-        """Returns whether no change that has to be in force can be missing."""
+    async def ensure_current(self) -> bool:
+        """Returns whether the copy has every change that must be in force."""
         ...
 
-    async def in_force(self, queue: Queue) -> Queue | None:
-        """Returns the newest form of a queue, or None if it was dropped."""
+    async def current_queue(self, queue: Queue) -> Queue | None:
+        """Returns a queue as now configured, or None if it was removed."""
         ...
 
 
-class NeighbourAccess(Protocol):
-    """Reaches other VMs; see `Neighbours`."""
+class PeerAccess(Protocol):
+    """Sends requests to other entry VMs."""
 
     async def run(self) -> None:
-        """Keeps connections that are needed, for ever."""
+        """Maintains the connections to other VMs, forever."""
         ...
 
     async def ask(self, message: GatewayMessage) -> GatewayMessage:
-        """Returns another VM's answer.
+        """Sends a request to another VM and returns its reply.
 
         Raises:
-            PeerUnreachableError: None was a help.
+            PeerUnreachableError: No VM could handle the request. If `sent` is
+                set, one may have handled it all the same.
         """
         ...
 
 
-class Unserved(NamedTuple):
-    """What came of asking the owner in vain.
+class OwnerFailure(NamedTuple):
+    """A request to the owner that failed or whose outcome is unknown.
 
     Attributes:
-        reply: Its answer, if it gave one.
-        error: Why it gave none.
+        reply: The owner's reply, or None if there was none.
+        error: Why there was no reply, or None if there was one.
     """
 
     reply: GatewayMessage | None
     error: PeerUnreachableError | None
 
-    def tell(self) -> GatewayMessage:
-        """Returns the answer.
+    def result(self) -> GatewayMessage:
+        """Returns the owner's reply.
 
         Raises:
-            PeerUnreachableError: There is none.
+            PeerUnreachableError: There was no reply.
         """
         if self.error is not None:
             raise self.error
@@ -97,7 +98,7 @@
 
     @property
     def may_have_happened(self) -> bool:
-        """True if the owner may have done what it was asked."""
+        """Whether the owner may have handled the request all the same."""
         if self.error is not None:
             return self.error.sent
         return (
@@ -106,8 +107,8 @@
         )
 
 
-def is_served(reply: GatewayMessage) -> bool:
-    """True if an owner's answer settles what a caller asked."""
+def is_final(reply: GatewayMessage) -> bool:
+    """Returns whether an owner's reply needs no further attempt."""
     if isinstance(reply, NotOwner):
         return False
     return not (
@@ -117,153 +118,168 @@
 
 
 class DurableIntake:
-    """Asks the owner, and takes in itself what no owner answers."""
+    """Sends requests to the owner, and stores those that it doesn't handle."""
 
     def __init__(
         self,
         owner: OwnerAccess,
-        silence: Callable[[], float],
+        owner_silence: Callable[[], float],
         configs: CurrentConfig,
         store: Store,
-        neighbours: NeighbourAccess,
+        peers: PeerAccess,
     ) -> None:
-        """Takes what it stands before.
+        """Initializes the intake; `run` must run for it to store requests.
 
         Args:
-            owner: Reaches the owner.
-            silence: Returns the seconds since the owner was heard.
-            configs: Knows whether a queue may still be used.
-            store: The store, as this VM reaches it.
-            neighbours: Other VMs, which the store may serve.
+            owner: Sends requests to the owner.
+            owner_silence: Returns the seconds since the last contact with the
+                owner.
+            configs: Tells whether a queue still exists.
+            store: This VM's access to the store.
+            peers: Other VMs, which may reach the store if this one can't.
         """
-        self._neighbours = neighbours
+        self._peers = peers
         self._owner = owner
-        self._silence = silence
+        self._owner_silence = owner_silence
         self._configs = configs
         self._writer = IntakeWriter(store)
-        # Questions that the owner owes an answer to.
-        self._asking: set[trio.CancelScope] = set()
-        self._asks = trio.Event()
+        # Scopes of the open requests to the owner.
+        self._owner_requests: set[trio.CancelScope] = set()
+        self._has_requests = trio.Event()
 
     def owner_absent(self) -> float:
-        """Returns for how many seconds no owner could be asked."""
+        """Returns for how many seconds no owner has been reachable."""
         return self._owner.owner_absent()
 
     async def store_answers(self) -> bool:
-        """Returns whether the store answers this VM now."""
+        """Returns whether the store currently answers this VM."""
         return await self._owner.store_answers()
 
     async def run(self) -> None:
-        """Stores what is taken in, for ever."""
+        """Runs the writer, the timeouts and the peer connections, forever."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._writer.run)
-            nursery.start_soon(self._give_up_silent)
-            nursery.start_soon(self._neighbours.run)
+            nursery.start_soon(self._cancel_when_silent)
+            nursery.start_soon(self._peers.run)
 
     async def ask_owner(
         self, message: GatewayMessage, timeout: float
     ) -> GatewayMessage:
-        """Asks the owner, or does without; see `OwnerAccess`."""
+        """Sends a request to the owner; see `OwnerAccess`.
+
+        Submissions and cancels that the owner doesn't handle are stored here,
+        or forwarded to another VM if this one can't store them.
+        """
         if not isinstance(message, SubmitJob | CancelJob):
             return await self._owner.ask_owner(message, timeout)
-        asked = await self._ask(message, timeout)
-        if not isinstance(asked, Unserved):
-            return asked
-        if asked.error is not None and asked.error.sent and self._is_heard():
-            # It may answer the next time; this caller's time is over.
-            return asked.tell()
-        stored = await self._store(message, asked)
-        return stored or await self._hand_over(message, asked)
-
-    async def take_over(self, message: HandOver) -> GatewayMessage:
-        """Serves what another VM can't store."""
+        attempt = await self._ask(message, timeout)
+        if not isinstance(attempt, OwnerFailure):
+            return attempt
+        if (
+            attempt.error is not None
+            and attempt.error.sent
+            and self._is_owner_responding()
+        ):
+            # The owner is alive but slow: a retry may succeed, but this
+            # caller's time is over.
+            return attempt.result()
+        stored = await self._store(message, attempt)
+        return stored or await self._forward(message, attempt)
+
+    async def serve_forwarded(self, message: HandOver) -> GatewayMessage:
+        """Handles a request that another VM can't store."""
         if message.queue is None or message.spec is None:
-            return await self._serve_peer(CancelJob(message.job))
-        queue = await self._configs.in_force(message.queue)
+            return await self._serve_peer_request(CancelJob(message.job))
+        queue = await self._configs.current_queue(message.queue)
         if queue is None:
             return NotOwner("the queue is not in force")
-        return await self._serve_peer(
+        return await self._serve_peer_request(
             SubmitJob(message.job, queue, message.spec)
         )
 
-    async def _serve_peer(self, message: _Kept) -> GatewayMessage:
-        asked = await self._ask(message, _PEER_TIMEOUT)
-        if not isinstance(asked, Unserved):
-            return asked
+    async def _serve_peer_request(
+        self, message: _StorableRequest
+    ) -> GatewayMessage:
+        attempt = await self._ask(message, _PEER_TIMEOUT)
+        if not isinstance(attempt, OwnerFailure):
+            return attempt
         try:
-            stored = await self._store(message, asked)
+            stored = await self._store(message, attempt)
         except PeerUnreachableError:
             return JobAnswer(Outcome.UNSURE, None)
         if stored is not None:
             return stored
-        if asked.may_have_happened:
+        if attempt.may_have_happened:
             return JobAnswer(Outcome.UNSURE, None)
         return NotOwner("no help here")
 
-    def _is_heard(self) -> bool:
-        absent = self._owner.owner_absent() >= _LOOK
-        return not absent and self._silence() <= OWNER_SILENCE
+    def _is_owner_responding(self) -> bool:
+        absent = self._owner.owner_absent() >= _SILENCE_CHECK_INTERVAL
+        return not absent and self._owner_silence() <= OWNER_SILENCE_TIMEOUT
 
     async def _ask(
-        self, message: _Kept, timeout: float
-    ) -> GatewayMessage | Unserved:
-        """Asks the owner as long as it is heard."""
+        self, message: _StorableRequest, timeout: float
+    ) -> GatewayMessage | OwnerFailure:
+        """Sends a request to the owner; gives up if the owner falls silent."""
         scope = trio.CancelScope()
-        self._asking.add(scope)
-        self._asks.set()
+        self._owner_requests.add(scope)
+        self._has_requests.set()
         try:
             with scope:
                 reply = await self._owner.ask_owner(message, timeout)
-                return reply if is_served(reply) else Unserved(reply, None)
+                return reply if is_final(reply) else OwnerFailure(reply, None)
         except PeerUnreachableError as error:
-            return Unserved(None, error)
+            return OwnerFailure(None, error)
         finally:
-            self._asking.discard(scope)
+            self._owner_requests.discard(scope)
         silent = PeerUnreachableError("the owner is silent", sent=True)
-        return Unserved(None, silent)
+        return OwnerFailure(None, silent)
 
-    async def _give_up_silent(self) -> None:
-        """Ends questions to an owner that isn't heard."""
+    async def _cancel_when_silent(self) -> None:
+        """Cancels open requests while the owner is silent."""
         while True:
-            if not self._asking:
-                self._asks = trio.Event()
-                await self._asks.wait()
-            await trio.sleep(_LOOK)
-            if self._silence() > OWNER_SILENCE:
-                for scope in self._asking:
+            if not self._owner_requests:
+                self._has_requests = trio.Event()
+                await self._has_requests.wait()
+            await trio.sleep(_SILENCE_CHECK_INTERVAL)
+            if self._owner_silence() > OWNER_SILENCE_TIMEOUT:
+                for scope in self._owner_requests:
                     scope.cancel()
 
-    async def _hand_over(
-        self, message: _Kept, asked: Unserved
+    async def _forward(
+        self, message: _StorableRequest, failure: OwnerFailure
     ) -> GatewayMessage:
-        """Asks another VM; else tells what came of the owner."""
+        """Forwards a request to another VM and returns its reply.
+
+        If no VM handles it, returns the owner's reply or raises its error.
+        """
         try:
-            reply = await self._neighbours.ask(_handed_over(message))
+            reply = await self._peers.ask(_make_forwarded(message))
         except PeerUnreachableError as error:
-            if error.sent and not asked.may_have_happened:
+            if error.sent and not failure.may_have_happened:
                 raise
-            return asked.tell()
-        if asked.may_have_happened and not _is_done(reply):
-            # A refusal says nothing of what the owner was asked before.
-            return asked.tell()
+            return failure.result()
+        if failure.may_have_happened and not _is_done(reply):
+            # A refusal does not tell what came of the request to the owner.
+            return failure.result()
         note("handed_over", job=message.job)
         meters.add_taken_in("handed over")
         return reply
 
-    async def _may_store(self, message: _Kept) -> bool:
-        if not await self._configs.make_current():
+    async def _may_store(self, message: _StorableRequest) -> bool:
+        if not await self._configs.ensure_current():
             return False
         if isinstance(message, CancelJob):
             return True
-        return await self._configs.in_force(message.queue) is not None
+        return await self._configs.current_queue(message.queue) is not None
 
     async def _store(
-        self, message: _Kept, asked: Unserved
+        self, message: _StorableRequest, failure: OwnerFailure
     ) -> GatewayMessage | None:
-        """Stores what was asked; returns None if that surely failed.
+        """Stores a request; returns None if it surely isn't stored.
 
         Raises:
-            PeerUnreachableError: It may be stored, or not.
+            PeerUnreachableError: It is not known whether the request is stored.
         """
         if not await self._may_store(message):
             return None
@@ -272,13 +288,13 @@
         except StoreUnavailableError as error:
             if not error.sent:
                 return None
-            reason = f"stored perhaps: {error}"
+            reason = f"may be stored: {error}"
             raise PeerUnreachableError(reason, sent=True) from error
         note(
             "taken_in_without_owner",
             job=message.job,
             cancels=isinstance(message, CancelJob),
-            asked_before=asked.may_have_happened,
+            asked_before=failure.may_have_happened,
         )
         if isinstance(message, CancelJob):
             meters.add_taken_in("cancel")
@@ -291,13 +307,13 @@
     return isinstance(reply, JobAnswer) and reply.outcome is Outcome.OK
 
 
-def _handed_over(message: _Kept) -> HandOver:
+def _make_forwarded(message: _StorableRequest) -> HandOver:
     if isinstance(message, CancelJob):
         return HandOver(message.job, None, None)
     return HandOver(message.job, message.queue, message.spec)
 
 
-def _record_of(message: _Kept) -> Record:
+def _record_of(message: _StorableRequest) -> Record:
     if isinstance(message, CancelJob):
         return Record(cancel_key(message.job), b"\x01")
     value = records.encode_accepted(message.queue, message.spec, wall.now())
--- a/pimentocross/gateway/intake_writer.py
+++ b/pimentocross/gateway/intake_writer.py
@@ -1,4 +1,4 @@
-"""Stores what entry VMs take in for an owner, gathered into few calls."""
+"""Writes requests that an entry VM accepts without the owner to the store."""
 
 from typing import Final
 
@@ -13,54 +13,57 @@
 from pimentocross.owner.const import APPEND_BYTES
 from pimentocross.owner.intake import TOPIC
 
-# Records gathered into one append, seconds.
+# Seconds for which records are collected into one append.
 _BATCH_PAUSE: Final = 0.015
-# A store that takes longer is away for a caller that waits, seconds.
+# Seconds after which the store counts as unavailable: a caller waits for it.
 _APPEND_TIMEOUT: Final = 1.0
-# Records that wait for an append on one VM: as many as its callers send within
-# a few seconds, and some megabytes.
-_WAITING_MOST: Final = 500
-# After a failed append nothing is tried for this long, seconds: callers of a
-# store that is away are told so at once.
-_AWAY_PAUSE: Final = 0.3
+# Limit of records that wait for an append on one VM: as many as its callers
+# send within a few seconds, which takes some megabytes.
+_MAX_WAITING_RECORDS: Final = 500
+# Seconds after a failed append in which further ones fail immediately, so that
+# callers get an answer at once while the store is away.
+_RETRY_PAUSE: Final = 0.3
 
 
 class _Entry:
-    """A record on its way to the store.
+    """A record that waits for its append.
 
     Attributes:
         record: The record.
-        done: Set once its append has ended.
-        error: Why it isn't known to be stored, or None.
+        done: Set once the append has succeeded or failed.
+        error: Why the append failed, or None.
     """
 
     def __init__(self, record: Record) -> None:
-        """Takes the record."""
+        """Initializes the entry as not yet appended."""
         self.record = record
         self.done = trio.Event()
         self.error: StoreUnavailableError | None = None
 
 
 class IntakeWriter:
-    """Appends records to the topic, gathered into few calls."""
+    """Appends records to the intake topic in batches."""
 
     def __init__(self, store: Store) -> None:
-        """Takes the store."""
+        """Initializes the writer; `run` must run for it to write."""
         self._store = store
         self._waiting: list[_Entry] = []
         self._wake = trio.Event()
         self._away_until = float("-inf")
 
     async def put(self, record: Record) -> None:
-        """Stores a record.
+        """Stores a record and returns once it is durable.
 
         Raises:
-            StoreUnavailableError: It isn't stored, or may be if `sent`.
+            StoreUnavailableError: The record isn't stored; if `sent` is set, it
+                may be stored.
         """
         if trio.current_time() < self._away_until:
             raise StoreUnavailableError("store away", sent=False)
-        if len(self._waiting) >= _WAITING_MOST:
-            raise StoreUnavailableError("too much waits for it", sent=False)
+        if len(self._waiting) >= _MAX_WAITING_RECORDS:
+            raise StoreUnavailableError(
+                "too many records wait for it", sent=False
+            )
         entry = _Entry(record)
         self._waiting.append(entry)
         self._wake.set()
@@ -69,11 +72,11 @@
             raise entry.error
 
     async def run(self) -> None:
-        """Appends what comes, for ever."""
+        """Appends the records of `put` in batches, forever."""
         while True:
             await self._wake.wait()
             await trio.sleep(_BATCH_PAUSE)
-            entries = self._take_some()
+            entries = self._take_batch()
             if not self._waiting:
                 self._wake = trio.Event()
             error = await self._append([entry.record for entry in entries])
@@ -81,23 +84,23 @@
                 entry.error = error
                 entry.done.set()
 
-    def _take_some(self) -> list[_Entry]:
-        """Returns those that are next and fit into one append."""
-        taken = 0
-        room = APPEND_BYTES
+    def _take_batch(self) -> list[_Entry]:
+        """Removes and returns the next entries that fit into one append."""
+        count = 0
+        bytes_left = APPEND_BYTES
         for entry in self._waiting:
-            room -= len(entry.record.key) + len(entry.record.value or b"")
-            if room < 0 and taken:
+            bytes_left -= len(entry.record.key) + len(entry.record.value or b"")
+            if bytes_left < 0 and count:
                 break
-            taken += 1
-        some, self._waiting = self._waiting[:taken], self._waiting[taken:]
-        return some
+            count += 1
+        next_batch, self._waiting = self._waiting[:count], self._waiting[count:]
+        return next_batch
 
     async def _append(
         self, batch: list[Record]
     ) -> StoreUnavailableError | None:
         if trio.current_time() < self._away_until:
-            # They came while the append before was failing.
+            # These records arrived while the previous append was failing.
             return StoreUnavailableError("store away", sent=False)
 
         async def ask(question: Question) -> int:
@@ -108,6 +111,6 @@
         try:
             await first_answer(ask, 0.0, _APPEND_TIMEOUT, AGAIN_AFTER)
         except StoreUnavailableError as error:
-            self._away_until = trio.current_time() + _AWAY_PAUSE
+            self._away_until = trio.current_time() + _RETRY_PAUSE
             return error
         return None
--- a/pimentocross/gateway/node.py
+++ b/pimentocross/gateway/node.py
@@ -8,7 +8,7 @@
 from pimentocross.contracts.store import StoreUnavailableError
 from pimentocross.contracts.switches import Part
 from pimentocross.gateway import const
-from pimentocross.gateway.caller_desk import CallerDesk
+from pimentocross.gateway.caller_requests import CallerRequestHandler
 from pimentocross.gateway.cluster import Cluster, Member, member_record
 from pimentocross.gateway.config_follower import ConfigFollower, ConfigSource
 from pimentocross.gateway.election import Election
@@ -97,7 +97,7 @@
             Neighbours(self._mine, self._other_vms, dial_tcp),
         )
         self._takes_in = settings.switches.is_on(Part.INTAKE)
-        self.desk = CallerDesk(
+        self.desk = CallerRequestHandler(
             self._configs, self._intake if self._takes_in else self
         )
         self._stop = trio.Event()
@@ -254,7 +254,7 @@
         if isinstance(message, Heartbeat):
             return BriefStanding(*self._election.standing()[:3])
         if isinstance(message, HandOver) and self._takes_in:
-            return await self._intake.take_over(message)
+            return await self._intake.serve_forwarded(message)
         if owner is None or not owner.ready.is_set():
             return NotOwner("the cell is not owned here")
         return await self._answer_here(owner, message)
@@ -266,7 +266,7 @@
             case SubmitJob(job, queue, spec):
                 known: Queue | None = queue
                 if not owner.desk.knows(job):
-                    known = await self._configs.in_force(queue)
+                    known = await self._configs.current_queue(queue)
                 if known is None:
                     return NotOwner("the queue is not in force")
                 return job_answer(await _submit(owner, job, known, spec))
--- a/pimentocross/gateway/return_times.py
+++ b/pimentocross/gateway/return_times.py
@@ -1,9 +1,10 @@
-"""When callers that are turned away should come back.
+"""Assigns times at which refused callers should retry.
 
-Load pattern: hundreds are turned away within a second, by tens of VMs. Told the
-same time, they come back together, and those who find nobody again run out of
-tries. So each is told a time at which it can be served, as far as that is
-known, and not more than a few are told the same second.
+Load pattern: tens of VMs refuse hundreds of callers within a second. With the
+same `Retry-After`, all of them would return together, and those that are
+refused again would run out of retries. So each caller gets a time at which its
+request can succeed, as far as that is known, and only a few get the same
+second.
 """
 
 from collections import Counter
@@ -13,32 +14,31 @@
 
 
 class ReturnTimes:
-    """Spreads those who come back over seconds."""
+    """Spreads the retries of refused callers over several seconds."""
 
     def __init__(self) -> None:
-        """Has told nobody yet."""
-        # How many were told to come back in each second.
-        self._told: Counter[int] = Counter()
+        """Initializes the counts with no retry assigned."""
+        # Number of retries assigned to each second.
+        self._assigned: Counter[int] = Counter()
 
     def assign(self, earliest: float, now: float) -> float:
-        """Returns after how many whole seconds one more should come back.
+        """Returns after how many whole seconds one more caller should retry.
 
         Args:
-            earliest: Seconds before which it can't be served, as far as is
-                known, or 0.
-            now: The present time.
+            earliest: Seconds before which a retry would surely fail, or 0.
+            now: Current time in seconds.
         """
         self._forget_before(int(now))
         seconds = math.ceil(max(earliest, const.RETRY_AFTER))
         latest = seconds + const.RETURNS_SPREAD
         while (
             seconds < latest
-            and self._told[int(now) + seconds] >= const.RETURNS_A_SECOND
+            and self._assigned[int(now) + seconds] >= const.RETURNS_A_SECOND
         ):
             seconds += 1
-        self._told[int(now) + seconds] += 1
+        self._assigned[int(now) + seconds] += 1
         return float(seconds)
 
     def _forget_before(self, second: int) -> None:
-        for passed in [told for told in self._told if told < second]:
-            del self._told[passed]
+        for passed in [past for past in self._assigned if past < second]:
+            del self._assigned[passed]
--- a/pimentocross/gateway/turns.py
+++ b/pimentocross/gateway/turns.py
@@ -1,11 +1,12 @@
-"""In which order members claim a cell without an owner, and how far apart.
-
-The strongest go first: a new owner reads the state and calls every worker at
-once, which a weak VM needs seconds for. Among equals a hash with the epoch
-decides, so that no VM is always the first. Only the first few turns are far
-enough apart for a claim to be known before the next one; the others share a
-span, since members that are down are listed as well. Two claims at once cost
-one refused append.
+"""The order in which members claim a cell without an owner, and their delays.
+
+VMs with the most cores go first: a new owner reads the state and calls every
+worker at once, which takes a weak VM seconds. Among equal VMs a hash of name
+and epoch decides, so that not always the same VM is first. Only the first few
+turns are far enough apart for a claim to be known before the next one. The
+others share one short period, because members that are down are listed too and
+a full delay for each would take long. Two concurrent claims only cost one
+refused append.
 """
 
 from collections.abc import Iterable, Mapping
@@ -21,10 +22,11 @@
     """When a member may claim.
 
     Attributes:
-        early: Whether it is one of the first, who look at a suspect.
-        delay: Seconds that it leaves to those before it.
-        handicap: Seconds more that it leaves to stronger ones if the owner is
-            suspected: they notice the same thing at other moments.
+        early: Whether the member is one of the first, usually the only ones to
+            check in the store whether a suspected owner still writes.
+        delay: Seconds to wait, so that the members before it can claim.
+        handicap: Further seconds to wait for stronger members if the owner is
+            suspected, since these may suspect it a little later.
     """
 
     early: bool
@@ -38,10 +40,10 @@
     """Returns a member's turn.
 
     Args:
-        name: Its VM.
-        members: All members by VM, also those that are down.
-        epoch: Of the newest claim, or 0.
-        suspect: The VM that is to be replaced, or "".
+        name: The member's VM.
+        members: All members by VM, including those that are down.
+        epoch: Epoch of the newest claim, or 0.
+        suspect: The VM of the owner to be replaced, or "".
     """
 
     def order(vm: str) -> tuple[float, int]:
@@ -53,22 +55,23 @@
     others = [vm for vm in members if vm not in (suspect, name)]
     rank = sum(order(vm) < mine for vm in others)
     turn = make_turn(rank, len(others) + 1)
-    least = _cores(members, name) * const.HAND_OVER_FACTOR
-    if least and any(_cores(members, vm) >= least for vm in others):
-        # The last ones of a span come no later for it than they have to.
+    min_cores = _cores(members, name) * const.HAND_OVER_FACTOR
+    if min_cores and any(_cores(members, vm) >= min_cores for vm in others):
+        # Members late in the shared period already wait longer than most
+        # stronger ones, so half of that wait is deducted.
         late = max(turn.delay - const.LATE_TURNS_AFTER, 0.0)
         turn = turn._replace(handicap=const.WEAK_HANDICAP - late / 2)
     return turn
 
 
 def _cores(members: Mapping[str, Member], vm: str) -> float:
-    """Returns a VM's processor in cores, or 0 if it isn't known."""
+    """Returns the number of a VM's cores, or 0 if it isn't known."""
     member = members.get(vm)
     return member.cores if member is not None else 0.0
 
 
 def make_turn(rank: int, candidates: int) -> Turn:
-    """Returns the turn of a rank, from 0 on."""
+    """Returns the turn for a rank (from 0) among so many candidates."""
     late = rank - const.EARLY_TURNS
     if late < 0:
         return Turn(True, rank * const.TURN_STEP)
@@ -80,36 +83,42 @@
 def find_stronger(
     name: str, members: Mapping[str, Member], heard: Iterable[str]
 ) -> str:
-    """Returns a VM that carries a cell much better than another, or "".
+    """Returns a reachable VM with far more cores than the owner's, or "".
 
-    Load pattern: all strong VMs are down as the cell is claimed, and a weak one
-    owns hundreds of workers when they are back.
+    Load pattern: all strong VMs are down when the cell is claimed, so a weak
+    one still owns hundreds of workers when they come back.
 
     Args:
-        name: The VM that owns.
+        name: The owner's VM.
         members: All members by VM.
-        heard: VMs that were heard lately.
+        heard: VMs with which there was contact recently.
     """
     mine = members.get(name)
     if mine is None or not mine.cores:
         return ""
-    least = mine.cores * const.HAND_OVER_FACTOR
+    min_cores = mine.cores * const.HAND_OVER_FACTOR
     return next(
-        (vm for vm in heard if vm in members and members[vm].cores >= least),
+        (
+            vm
+            for vm in heard
+            if vm in members and members[vm].cores >= min_cores
+        ),
         "",
     )
 
 
 def heartbeat_interval(members: int, *, early: bool) -> float:
-    """Returns the seconds from one heartbeat to the owner to the next.
+    """Returns the seconds between two heartbeats of a member to the owner.
 
-    Load pattern: hundreds of VMs, whose heartbeats would take an owner on a
-    small VM much of its processor. Those with an early turn notice its end as
-    soon as ever, and the others learn from the store who replaced it.
+    Load pattern: with hundreds of VMs, heartbeats at the usual interval would
+    take much of the processor of an owner on a small VM. Members with early
+    turns keep the short interval, so that the end of an owner is detected as
+    fast as in a small cluster. The others learn of the new owner from the
+    store.
 
     Args:
-        members: All members.
-        early: Whether this one's turn is early.
+        members: Number of members.
+        early: Whether this member has an early turn.
     """
     if early:
         return const.HEARTBEAT_INTERVAL
--- a/pimentocross/platform/callers.py
+++ b/pimentocross/platform/callers.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from pimentocross.gateway.caller_desk import (
+from pimentocross.gateway.caller_requests import (
     Answer,
     AnswerKind,
-    CallerDesk,
+    CallerRequestHandler,
 )
 from pimentocross.links.asgi import HttpReply, HttpRequest
 from pimentocross.observe.decisions import DECISIONS_PATH, recent
@@ -43,7 +43,7 @@
 class CallerSurface:
     """Answers callers' requests."""
 
-    def __init__(self, desk: CallerDesk) -> None:
+    def __init__(self, desk: CallerRequestHandler) -> None:
         """Takes what decides."""
         self._desk = desk
 
@@ -55,7 +55,7 @@
         if request.method == "POST":
             return await self._submit(host, path, request.body, deadline)
         if request.method == "GET":
-            return _reply(await self._desk.look(host, path, deadline))
+            return _reply(await self._desk.query(host, path, deadline))
         if request.method == "DELETE":
             return _reply(await self._desk.cancel(host, path, deadline))
         return HttpReply(405, [(b"allow", b"GET, POST, DELETE")], b"")
@@ -78,7 +78,7 @@
 class MetricsSurface:
     """Serves counters and histograms."""
 
-    def __init__(self, desk: CallerDesk, gauges: Gauges) -> None:
+    def __init__(self, desk: CallerRequestHandler, gauges: Gauges) -> None:
         """Takes the desk, and what returns present values."""
         self._desk = desk
         self._gauges = gauges
@@ -96,7 +96,7 @@
 class ReadySurface:
     """Tells the platform whether this VM takes callers."""
 
-    def __init__(self, desk: CallerDesk) -> None:
+    def __init__(self, desk: CallerRequestHandler) -> None:
         """Takes what knows."""
         self._desk = desk
 
--- a/tests/gateway_fixtures.py
+++ b/tests/gateway_fixtures.py
@@ -1,4 +1,4 @@
-"""Fixtures of entry VMs in virtual time: many processes on one clock."""
+"""Fixtures that run many entry VMs in one process, in virtual time."""
 
 from collections.abc import AsyncIterator, Sequence
 from contextlib import asynccontextmanager
@@ -36,34 +36,35 @@
 from pimentocross.work.queue import Queue, WorkConfig
 from tests.owner_fixtures import CONFIG, make_hall
 
+# Cores of a strong and a weak VM.
 STRONG: Final = 2.15
 WEAK: Final = 0.52
-# Of a process that doesn't tell: its record is of the older form.
+# Of a process of an older version, which does not publish its cores.
 UNKNOWN: Final = 0.0
 _NETWORK_DELAY: Final = 0.002
 
 
 class FixedConfig:
-    """A configuration that is as told; see `ConfigAccess`.
+    """A fake `ConfigAccess` that returns what the test sets.
 
     Attributes:
-        config: It, or None.
-        current: Whether nothing newer can be missing.
+        config: The configuration, or None.
+        current: Whether the configuration counts as current.
     """
 
     def __init__(
         self, config: WorkConfig | None, *, current: bool = True
     ) -> None:
-        """Takes the configuration and whether it is current."""
+        """Initializes the fake with a configuration."""
         self.config = config
         self.current = current
 
-    async def make_current(self) -> bool:
-        """Returns whether it is current."""
+    async def ensure_current(self) -> bool:
+        """Returns `current`."""
         await trio.lowlevel.checkpoint()
         return self.current
 
-    async def in_force(self, queue: Queue) -> Queue | None:
+    async def current_queue(self, queue: Queue) -> Queue | None:
         """Returns a queue as it is configured, or None."""
         await trio.lowlevel.checkpoint()
         known = self.config.queues if self.config is not None else ()
@@ -71,15 +72,16 @@
 
 
 class VmStore:
-    """A VM's access to the store, which its own processor makes late.
+    """A VM's access to the store, slowed down as by an overloaded VM.
 
     Attributes:
-        claimed_at: When this VM's newest claim was taken, or None.
-        silent_until: Until when this VM neither writes nor answers, monotonic.
+        claimed_at: When this VM's newest claim was stored, monotonic, or None.
+        silent_until: Until when this VM neither writes nor answers peers,
+            monotonic.
     """
 
     def __init__(self, cell: "VmCell", client: StoreClientStandin) -> None:
-        """Takes the cell, and the access that isn't late."""
+        """Initializes the access with one that is not slowed down."""
         self.claimed_at: float | None = None
         self.silent_until = float("-inf")
         self._cell = cell
@@ -95,7 +97,7 @@
         mark: ProducerMark | None = None,
         fresh: bool = False,
     ) -> int:
-        """Appends records, those of a busy new owner late."""
+        """Appends records; delays those of a new owner that is still busy."""
         if topic == const.JOBS_TOPIC:
             await self.wait_while_busy()
         offset = await self._client.append(
@@ -120,25 +122,25 @@
     async def newest(
         self, topic: str, timeout: float, *, fresh: bool = False
     ) -> Page:
-        """Returns the newest records; the state of jobs takes its time."""
+        """Returns the newest records; delays the state of jobs."""
         if topic == const.JOBS_TOPIC:
-            await trio.sleep(self._cell.reading_takes)
+            await trio.sleep(self._cell.read_duration)
         return await self._client.newest(topic, timeout, fresh=fresh)
 
     async def wait_while_busy(self) -> None:
-        """Waits until this VM, if it has claimed, does more than adopt."""
+        """Waits until this VM is no longer silent, also not after a claim."""
         await trio.sleep(max(self.silent_until - trio.current_time(), 0.0))
         if self.claimed_at is not None:
-            until = self.claimed_at + self._cell.silent_for
+            until = self.claimed_at + self._cell.silence_after_claim
             await trio.sleep(max(until - trio.current_time(), 0.0))
 
 
 class Vm:
-    """An entry VM without its callers' side.
+    """An entry VM's process without the part that serves callers.
 
     Attributes:
-        name: Its name.
-        cores: Its processor.
+        name: The VM's name.
+        cores: Number of its cores.
         store: Its access to the store.
         election: Its election.
     """
@@ -146,7 +148,7 @@
     def __init__(
         self, cell: "VmCell", name: str, cores: float, generation: int
     ) -> None:
-        """Puts the parts together."""
+        """Initializes the process; `run` starts it."""
         self.name = name
         self.cores = cores
         self.scope = trio.CancelScope()
@@ -171,29 +173,29 @@
 
     @property
     def owns(self) -> bool:
-        """True if it has the cell and its state."""
+        """Whether it owns the cell and has read the cell's state."""
         owner = self.election.owner
         return owner is not None and owner.ready.is_set()
 
     async def run(self) -> None:
-        """Lives until it is killed."""
+        """Runs the process until it is killed."""
         with self.scope:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
                 nursery.start_soon(self._cluster.follow)
                 nursery.start_soon(self.election.run)
-                await self._cell.list_member(
+                await self._cell.register_member(
                     self.name, self._process, self.cores
                 )
 
     def serve(self, stream: trio.abc.Stream) -> None:
-        """Answers a peer that has dialed."""
+        """Serves a connection of a peer."""
         if self._nursery is None or self.scope.cancel_called:
             raise OSError("refused")
         self._nursery.start_soon(self._listener.serve_connection, stream)
 
     def refuse(self, reason: str) -> GatewayMessage:
-        """Returns the answer to a question that can't be read."""
+        """Returns the answer to a message that can't be decoded."""
         return NotOwner(reason)
 
     async def answer(
@@ -202,7 +204,7 @@
         """Answers a heartbeat."""
         self._heard.note(peer.name)
         await self.store.wait_while_busy()
-        await trio.sleep(self._cell.answers_after)
+        await trio.sleep(self._cell.answer_delay)
         if not self._cell.former:
             assert isinstance(message, AskStanding)
             return self.election.standing()
@@ -212,33 +214,33 @@
 
 
 class VmCell:
-    """Entry VMs that share a store and reach one another.
+    """Entry VMs of one cell, with a shared store and a network between them.
 
     Attributes:
         store: The store.
         hall: The workers.
-        vms: Those that live, by name.
-        former: Whether VMs answer as those of the former version do.
-        answers_after: Seconds until a heartbeat is answered.
-        reading_takes: Seconds for which a new owner reads the cell's state.
-        silent_for: Seconds after its claim for which a VM neither writes nor
-            answers.
+        vms: Running VMs by name.
+        former: Whether VMs answer heartbeats as the former version does.
+        answer_delay: Seconds until a heartbeat is answered.
+        read_duration: Seconds that a new owner needs to read the cell's state.
+        silence_after_claim: Seconds after its claim for which a VM neither
+            writes nor answers.
     """
 
     def __init__(self) -> None:
-        """Starts without VMs."""
+        """Initializes a cell without VMs."""
         self.store = StoreStandin()
         self.hall: WorkerHall = make_hall()
         self.vms: dict[str, Vm] = {}
         self.former = False
-        self.answers_after = _NETWORK_DELAY
-        self.reading_takes = 0.0
-        self.silent_for = 0.0
+        self.answer_delay = _NETWORK_DELAY
+        self.read_duration = 0.0
+        self.silence_after_claim = 0.0
         self._nursery: trio.Nursery | None = None
 
     @asynccontextmanager
     async def running(self) -> AsyncIterator[None]:
-        """Lets VMs run within the block."""
+        """Runs the VMs within the block."""
         with mock.patch.object(trio, "open_tcp_stream", self._dial):
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
@@ -258,11 +260,13 @@
         del self.vms[vm.name]
 
     def silence(self, vm: Vm, seconds: float) -> None:
-        """Has a VM neither write nor answer for some seconds from now on."""
+        """Has a VM neither write nor answer for some seconds from now."""
         vm.store.silent_until = trio.current_time() + seconds
 
-    async def list_member(self, name: str, process: str, cores: float) -> None:
-        """Writes a process's record as it is on the wire."""
+    async def register_member(
+        self, name: str, process: str, cores: float
+    ) -> None:
+        """Writes the member record of a process in its stored form."""
         fields: list[object] = [1, name, process, f"{name}:7720"]
         records = [Record(f"m/{name}", msgspec.msgpack.encode(fields))]
         if cores != UNKNOWN:
@@ -278,8 +282,8 @@
             else:
                 return
 
-    async def claim_for(self, name: str) -> None:
-        """Writes a claim of a VM that is none of those that live, or none."""
+    async def write_claim(self, name: str) -> None:
+        """Writes a claim for a VM that isn't running, or a release for ""."""
         process = f"{name}:0" if name else ""
         claim = ClaimRecord(1, name, process, f"{name}:7720", False)
         record = Record(f"claim/{const.CELL}", msgspec.msgpack.encode(claim))
@@ -288,7 +292,7 @@
         )
 
     def owners(self) -> list[Vm]:
-        """Returns the VMs that own the cell and have its state."""
+        """Returns the VMs that own the cell and have read its state."""
         return [vm for vm in self.vms.values() if vm.owns]
 
     def claims(self) -> list[str]:
@@ -300,8 +304,8 @@
         ]
         return [claim.vm for claim in claims if claim.process]
 
-    async def next_claim(self, known: int, timeout: float = 30.0) -> float:
-        """Returns how long it takes until there are more claims."""
+    async def wait_for_claim(self, known: int, timeout: float = 30.0) -> float:
+        """Waits for more than `known` claims; returns the seconds it took."""
         began = trio.current_time()
         with trio.fail_after(timeout):
             while len(self.claims()) <= known:
@@ -318,8 +322,8 @@
         return ours
 
 
-def processors() -> dict[str, float]:
-    """Returns the VMs of a grown deployment: 8 strong ones and 26 others."""
+def vm_cores() -> dict[str, float]:
+    """Returns the cores of 34 VMs by name: 8 strong and 26 weak ones."""
     return {f"edge-{n}": STRONG if n % 4 == 1 else WEAK for n in range(34)} | {
         "edge-33": WEAK
     }
--- a/tests/random_take_overs.py
+++ b/tests/random_take_overs.py
@@ -85,7 +85,7 @@
         self._cell = VmCell()
         self._hall: WorkerHall = make_hall(_WORKERS, self._plan)
         self._cell.hall = self._hall
-        self._cell.reading_takes = self._draw.choice((0.0, 0.3, 1.0))
+        self._cell.read_duration = self._draw.choice((0.0, 0.3, 1.0))
         # Where workers don't tell when they were born, no start is waited for
         # that may come late.
         self._births = self._draw.random() < 0.5
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -5,7 +5,11 @@
 
 import trio
 
-from pimentocross.gateway.caller_desk import Answer, AnswerKind, CallerDesk
+from pimentocross.gateway.caller_requests import (
+    Answer,
+    AnswerKind,
+    CallerRequestHandler,
+)
 from pimentocross.gateway.messages import (
     GATEWAY_MESSAGES,
     FullAnswer,
@@ -169,7 +173,7 @@
 
 
 async def test_the_caller_is_told_429_and_when_to_come_back() -> None:
-    desk = CallerDesk(FixedConfig(CONFIG), _Full())
+    desk = CallerRequestHandler(FixedConfig(CONFIG), _Full())
     place = await desk.find("host", "/plans/j1")
     assert not isinstance(place, Answer)
     answer = await desk.submit(place, chain(1, 1), 3.0)
--- a/tests/test_config_current.py
+++ b/tests/test_config_current.py
@@ -1,12 +1,12 @@
-"""How soon a confirmed change of the configuration is in force on a VM.
+"""Tests how soon an acknowledged configuration change is in force on a VM.
 
-A route had been added and its version 83 acknowledged, and 2.7 s later a VM
-still answered 404 for it. The store had been away for 8 s and was back. The VM
-had asked for news shortly before the return; the store never got that question,
-and the VM went on waiting for its answer: 2 s for news to come, 1 s more, and
-0.3 s until it asked again. Meanwhile it heard from the store on other
-connections forty times a second. A VM whose question came 0.1 s after the
-return had the version half a second after it was acknowledged.
+Guards against a read of the configuration that is lost in an outage of the
+store. A VM had sent one shortly before the store came back after 8 s; the store
+never got it. The VM waited 2 s for a change, 1 s more for the reply, and 0.3 s
+to retry, though its other connections got forty replies a second. So it still
+answered 404 for a route 2.7 s after version 83 with that route was
+acknowledged. A VM that sent its read 0.1 s after the store was back had the
+version half a second after its acknowledgement:
 
     46.000  config version 69 sent; acked 54.311 by store
     53.646  norte-3  config_unread  no answer in time
@@ -16,7 +16,7 @@
     56.944  norte-3  config_unread  no answer in time
     57.247  norte-3  config_in_force  version 85
 
-In another play of the same day the 404 was given at 57.094.
+In another run of the same day the 404 was given at 57.094.
 """
 
 from collections.abc import Awaitable, Callable
@@ -45,18 +45,18 @@
 
 
 async def test_a_change_is_in_force_in_time_whatever_went_unanswered() -> None:
-    """An outage ends, or a connection goes silent, at any moment of a wait."""
-    assert await _most_lag(_store_away) < APPLY_WITHIN
-    assert await _most_lag(_connections_silent) < APPLY_WITHIN
+    """An outage ends, or a connection goes silent, at any time in a wait."""
+    assert await _max_lag(_store_away) < APPLY_WITHIN
+    assert await _max_lag(_connections_silent) < APPLY_WITHIN
 
 
 async def test_a_deployment_may_ask_for_changes_sooner() -> None:
     for within in (0.5, 1.0):
-        assert await _most_lag(_store_away, within) < within
-        assert await _most_lag(_connections_silent, within) < within
+        assert await _max_lag(_store_away, within) < within
+        assert await _max_lag(_connections_silent, within) < within
 
 
-async def _most_lag(
+async def _max_lag(
     fault: Callable[[Followed, float], Awaitable[None]],
     within: float = APPLY_WITHIN,
 ) -> float:
@@ -81,18 +81,18 @@
 
 
 def test_changes_after_any_faults_are_in_force_in_time() -> None:
-    """Outages, refusals, silence and slowness in turn, then a calm store."""
+    """Random outages, refusals, silence and delays, then a healthy store."""
     for seed in range(30):
         run_virtual(_faults_then_calm(seed), seed)
 
 
 def _faults_then_calm(seed: int) -> Callable[[], Awaitable[None]]:
     async def run() -> None:
-        draw = random.Random(seed)
+        rng = random.Random(seed)
         async with followed_operator() as followed:
             faults = followed.store.faults
             for _ in range(6):
-                kind = draw.choice(("away", "refused", "silent", "slow"))
+                kind = rng.choice(("away", "refused", "silent", "slow"))
                 if kind == "away":
                     faults.away = True
                 elif kind == "refused":
@@ -100,10 +100,10 @@
                 elif kind == "silent":
                     faults.silenced += 1
                 else:
-                    faults.delay = draw.uniform(0.05, 0.4)
-                await trio.sleep(draw.uniform(0.05, 5.0))
+                    faults.delay = rng.uniform(0.05, 0.4)
+                await trio.sleep(rng.uniform(0.05, 5.0))
                 faults.away, faults.refused, faults.delay = False, set(), 0.004
-                await trio.sleep(draw.choice((0.0, draw.uniform(0.0, 1.0))))
+                await trio.sleep(rng.choice((0.0, rng.uniform(0.0, 1.0))))
                 lag = await followed.lag(await followed.publish())
                 assert lag < APPLY_WITHIN, (seed, kind, lag)
 
@@ -112,7 +112,7 @@
 
 @real_time
 async def test_a_vm_that_the_store_refuses_denies_no_new_route() -> None:
-    """It can't know of the route, so it tells when to come back."""
+    """It can't know of the route, so it answers 503 with a time to retry."""
     async with loopback_platform() as platform:
         async with running_node(platform, "vm1") as (node, values):
             await until_ready(values)
@@ -136,7 +136,7 @@
 
 
 async def test_an_answer_from_an_old_copy_is_looked_up_anew() -> None:
-    """Once the copy is too old, one question for all who wait."""
+    """Concurrent reads of a copy that is too old share one request."""
     async with followed_operator() as followed:
         follower, store = followed.follower, followed.store
         store.faults.silenced += 1
@@ -145,7 +145,9 @@
         asked = store.calls
         async with trio.open_nursery() as nursery:
             for _ in range(100):
-                nursery.start_soon(follower.known_since, trio.current_time())
+                nursery.start_soon(
+                    follower.ensure_newest_since, trio.current_time()
+                )
         assert follower.config is not None
         assert follower.config.version == version
         assert store.calls - asked <= 4
@@ -156,27 +158,27 @@
         followed.store.faults.away = True
         await trio.sleep(3.0)
         began = trio.current_time()
-        assert not await followed.follower.make_current()
+        assert not await followed.follower.ensure_current()
         assert trio.current_time() == began
 
 
 async def test_an_owner_judges_queues_by_the_newest_configuration() -> None:
-    """Whatever the VM knows that sends a job."""
+    """Even if the VM that forwards a job has a different configuration."""
     async with followed_operator() as followed:
         config = followed.follower.config
         assert config is not None
         first = config.queues[0]
         older = first._replace(service="gone")
-        assert await followed.follower.in_force(older) == first
+        assert await followed.follower.current_queue(older) == first
         dropped = first._replace(name="dropped")
-        assert await followed.follower.in_force(dropped) is None
+        assert await followed.follower.current_queue(dropped) is None
         followed.store.faults.away = True
         await trio.sleep(3.0)
-        assert await followed.follower.in_force(dropped) == dropped
+        assert await followed.follower.current_queue(dropped) == dropped
 
 
 async def test_a_store_that_comes_back_bears_the_questions_of_all() -> None:
-    """34 VMs, and 2,000 reads a second for everything."""
+    """34 VMs must stay far below the store's limit of 2,000 reads a second."""
     store = StoreStandin()
     async with trio.open_nursery() as nursery:
         for number in range(34):
--- a/tests/test_former_leases.py
+++ b/tests/test_former_leases.py
@@ -131,7 +131,7 @@
         hall.cut["first"].update(others)
         for name in ("second", "third"):
             hall.cut[name].add(cut_off)
-        await cell.next_claim(1)
+        await cell.wait_for_claim(1)
         assert cell.claims()[-1] == "second", cell.claims()
         cell.kill(cell.vms["second"])
         cell.start("second", STRONG, generation=2)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""Entry VMs in virtual time: who owns, how fast, and what callers are told."""
+"""Tests of entry VMs in virtual time: ownership, take-overs, answers."""
 
 from collections.abc import AsyncIterator, Sequence
 from contextlib import asynccontextmanager
@@ -8,7 +8,11 @@
 
 from pimentocross.contracts.store import ConditionFailedError
 from pimentocross.gateway import const
-from pimentocross.gateway.caller_desk import Answer, AnswerKind, CallerDesk
+from pimentocross.gateway.caller_requests import (
+    Answer,
+    AnswerKind,
+    CallerRequestHandler,
+)
 from pimentocross.gateway.cluster import (
     ClaimRecord,
     Cluster,
@@ -44,18 +48,18 @@
 
 
 class _AlwaysHeard(HeardPeers):
-    """Peers that are heard all the time."""
+    """Peers with which there always is contact."""
 
     @property
     def newest_at(self) -> float:
-        """Returns the present time."""
+        """Returns the current time."""
         return trio.current_time()
 
 
 class _Vm:
-    """An entry VM without its listeners: members, claims and the owner.
+    """An entry VM without listeners: members, claims and the owner.
 
-    Other VMs can't be dialed, so that only the store tells who lives.
+    VMs can't connect to each other, so only the store shows who is alive.
     """
 
     def __init__(
@@ -127,9 +131,9 @@
         rest = [vm for vm in vms if vm is not owner]
         await wait_until(lambda: any(vm.owns for vm in rest))
         assert trio.current_time() - died_at < 3.0
-        heir = next(vm for vm in rest if vm.owns)
-        assert heir.election.owner is not None
-        assert heir.election.owner.desk.state("j1").outcome is Outcome.OK
+        successor = next(vm for vm in rest if vm.owns)
+        assert successor.election.owner is not None
+        assert successor.election.owner.desk.state("j1").outcome is Outcome.OK
     assert not find_twice(hall.journal)
 
 
@@ -185,13 +189,16 @@
 
 
 async def test_a_claim_is_known_in_time_after_an_outage() -> None:
-    """Whatever was asked before: a VM without an owner leaves the balancer."""
+    """Otherwise the VM would count as without an owner and not be ready.
+
+    An outage may end at any time in a read of the claims.
+    """
     lags = [await _claim_lag(4.0 + step * 0.1) for step in range(40)]
     assert max(lags) < const.READY_WITHOUT_OWNER, max(lags)
 
 
 async def _claim_lag(away_for: float) -> float:
-    """Returns how long after an outage a claim is unknown to a member."""
+    """Returns the seconds until a member reads a claim after an outage."""
     store = StoreStandin()
     member, other = Cluster(store.client("vm")), Cluster(store.client("other"))
     async with trio.open_nursery() as nursery:
@@ -230,7 +237,7 @@
 
 
 class _Owner:
-    """Answers, or fails, as told: at first by the first replies."""
+    """A fake owner: gives the replies in `first`, and then always `reply`."""
 
     def __init__(
         self, reply: _Reply, absent: float = 0.0, first: Sequence[_Reply] = ()
@@ -264,18 +271,19 @@
 
 
 async def _submitted_to(owner: _Owner) -> Answer:
-    desk = CallerDesk(FixedConfig(CONFIG), owner)
-    place = await desk.find("host", "/plans/j1")
+    handler = CallerRequestHandler(FixedConfig(CONFIG), owner)
+    place = await handler.find("host", "/plans/j1")
     assert not isinstance(place, Answer)
-    return await desk.submit(place, chain(1, 1), 3.0)
+    return await handler.submit(place, chain(1, 1), 3.0)
 
 
 async def test_a_successor_is_asked_for_what_its_predecessor_left_open() -> (
     None
 ):
-    # The store had gone silent towards the owner alone. Its callers were told
-    # after 1.3 s that their jobs may run or not, and can't ask again after
-    # that; a successor that knew the answer was there a second later:
+    # Guards against an unknown outcome that a new owner could resolve. The
+    # store had stopped answering the owner alone, whose callers were told after
+    # 1.3 s that their jobs may run or not, and don't retry after that. A
+    # successor that knew the outcome was ready a second later:
     #
     #     18.5 s platform_down (silent) leader;  how tries ended: 504: 34
     #     submit_unanswered sent true "no answer";  20.6 s claim, 21.3 s ready
@@ -288,7 +296,7 @@
         answer = await _submitted_to(owner)
         assert answer.kind is AnswerKind.ACCEPTED
         assert len(owner.asked) == 5
-        # The same id is the same job.
+        # All requests have the same job id, so the job runs once.
         assert len({message.job for message in _submissions(owner)}) == 1
 
 
@@ -331,7 +339,7 @@
     assert away.kind is AnswerKind.NOT_ACCEPTED
     unsure = await _submitted(JobAnswer(Outcome.UNSURE, None))
     assert unsure.kind is AnswerKind.UNKNOWN
-    # Without a time to come back callers used up their tries within 0.8 s.
+    # Without a time to retry callers used up their retries within 0.8 s.
     assert unsure.retry_after == const.RETRY_AFTER
     moved = await _submitted(NotOwner("moved"))
     assert moved.kind is AnswerKind.NOT_ACCEPTED
@@ -340,14 +348,16 @@
 
 
 async def test_an_unsure_owner_never_denies_a_job() -> None:
-    desk = CallerDesk(FixedConfig(CONFIG), _Owner(NotOwner("moved")))
-    answer = await desk.look("host", "/plans/j1", 3.0)
+    handler = CallerRequestHandler(
+        FixedConfig(CONFIG), _Owner(NotOwner("moved"))
+    )
+    answer = await handler.query("host", "/plans/j1", 3.0)
     assert answer.kind is AnswerKind.UNAVAILABLE
     assert AskState("j1").job == "j1"
 
 
 class _SlowOwner(_Owner):
-    """Takes longer than it was given, as through other VMs it may."""
+    """Exceeds its timeout, as requests forwarded to other VMs may."""
 
     async def ask_owner(
         self, message: GatewayMessage, timeout: float
@@ -357,41 +367,45 @@
 
 
 async def test_callers_are_told_while_they_still_wait() -> None:
-    desk = CallerDesk(FixedConfig(CONFIG), _SlowOwner(NotOwner("moved")))
-    place = await desk.find("host", "/plans/j1")
+    handler = CallerRequestHandler(
+        FixedConfig(CONFIG), _SlowOwner(NotOwner("moved"))
+    )
+    place = await handler.find("host", "/plans/j1")
     assert not isinstance(place, Answer)
     began = trio.current_time()
-    answer = await desk.submit(place, chain(1, 1), 3.0)
+    answer = await handler.submit(place, chain(1, 1), 3.0)
     assert trio.current_time() - began < 3.0
     assert answer.kind is AnswerKind.UNKNOWN, "it may run"
     began = trio.current_time()
-    answer = await desk.cancel("host", "/plans/j1", 3.0)
+    answer = await handler.cancel("host", "/plans/j1", 3.0)
     assert trio.current_time() - began < 3.0
     assert answer.kind is AnswerKind.UNKNOWN, "it may be cancelled"
 
 
 async def test_what_is_too_long_for_an_id_is_no_job_of_a_queue() -> None:
-    # The store's keys have at most 255 bytes; a longer one can't be written.
-    desk = CallerDesk(FixedConfig(CONFIG), _Owner(NotOwner("moved")))
+    # The store's keys have at most 255 bytes; longer ones can't be written.
+    handler = CallerRequestHandler(
+        FixedConfig(CONFIG), _Owner(NotOwner("moved"))
+    )
     for rest, taken in (("a" * 200, True), ("a" * 300, False)):
-        found = await desk.find("host", "/plans/" + rest)
+        found = await handler.find("host", "/plans/" + rest)
         assert isinstance(found, Answer) is not taken, len(rest)
-    found = await desk.find("host", "/plans/" + "\xe9" * 200)
+    found = await handler.find("host", "/plans/" + "\xe9" * 200)
     assert isinstance(found, Answer), "by its bytes"
 
 
 def test_readiness_follows_configuration_owner_and_drain() -> None:
     configs = FixedConfig(None)
     owner = _Owner(NotOwner(""), absent=0.0)
-    desk = CallerDesk(configs, owner)
-    assert not desk.ready()
+    handler = CallerRequestHandler(configs, owner)
+    assert not handler.ready()
     configs.config = CONFIG
-    assert desk.ready()
+    assert handler.ready()
     owner.absent = const.READY_WITHOUT_OWNER + 0.1
-    assert not desk.ready()
+    assert not handler.ready()
     owner.absent = 0.0
-    desk.draining = True
-    assert not desk.ready()
+    handler.draining = True
+    assert not handler.ready()
 
 
 async def test_a_release_soon_after_a_silent_owner_is_not_quiet() -> None:
@@ -411,6 +425,6 @@
             for record in store.topic("cluster").records
             if record.key.startswith("claim/")
         ]
-        # The first may still renew leases that the second could not fence.
+        # The first owner may still renew leases that the second did not fence.
         release = msgspec.msgpack.decode(released[-2] or b"", type=ClaimRecord)
         assert not release.process and not release.quiet
--- a/tests/test_hand_over.py
+++ b/tests/test_hand_over.py
@@ -25,7 +25,7 @@
 from pimentocross.work.state import JobState
 from tests.gateway_fixtures import FixedConfig
 from tests.owner_fixtures import CONFIG, QUEUE, chain
-from tests.test_intake import ABSENT, NobodyNear, OwnerFake
+from tests.test_intake import ABSENT, NoPeers, OwnerFake
 
 _SUBMIT = SubmitJob("job1", QUEUE, chain())
 _MESSAGE = HandOver("job1", QUEUE, chain())
@@ -159,7 +159,7 @@
     async def ask(self, message: GatewayMessage) -> GatewayMessage:
         """Asks it."""
         assert isinstance(message, HandOver)
-        return await self._other.take_over(message)
+        return await self._other.serve_forwarded(message)
 
 
 def _intake(
@@ -171,7 +171,7 @@
         owner.silence,
         FixedConfig(CONFIG, current=current),
         store.client(vm),
-        NobodyNear() if other is None else _ThroughOther(other),
+        NoPeers() if other is None else _ThroughOther(other),
     )
 
 
@@ -195,5 +195,5 @@
 async def test_a_vm_takes_over_no_job_of_a_queue_that_was_dropped() -> None:
     other = _intake(StoreStandin(), "served", None, current=True)
     dropped = _MESSAGE._replace(queue=QUEUE._replace(name="dropped"))
-    reply = await other.take_over(dropped)
+    reply = await other.serve_forwarded(dropped)
     assert isinstance(reply, NotOwner), reply
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -1,4 +1,4 @@
-"""Submissions that entry VMs take in while no owner can be asked."""
+"""Tests of submissions that entry VMs accept while no owner is reachable."""
 
 from collections import Counter
 from collections.abc import AsyncIterator, Sequence
@@ -16,7 +16,7 @@
 )
 from pimentocross.gateway.intake import (
     DurableIntake,
-    NeighbourAccess,
+    PeerAccess,
 )
 from pimentocross.gateway.intake_writer import IntakeWriter
 from pimentocross.gateway.messages import (
@@ -48,32 +48,33 @@
 )
 
 _SUBMIT = SubmitJob("job1", QUEUE, chain())
-_TAKEN_IN = JobAnswer(Outcome.OK, JobState.QUEUED)
+_ACCEPTED = JobAnswer(Outcome.OK, JobState.QUEUED)
 
 
 class OwnerFake:
-    """Reaches an owner that does as told; see `OwnerAccess`.
+    """A fake `OwnerAccess` whose owner replies as the test sets.
 
     Attributes:
-        reply: What it answers, or why it doesn't.
-        silent: Whether it never answers.
-        silent_since: Since when it isn't heard, monotonic.
-        asked: What it was asked.
+        reply: The reply, or the error to raise.
+        silent: Whether requests time out without a reply.
+        silent_since: Time since which there is no contact with the owner,
+            monotonic.
+        asked: The requests that were sent.
     """
 
     def __init__(self, reply: GatewayMessage | PeerUnreachableError) -> None:
-        """Takes what it answers."""
+        """Initializes the fake with a reply or an error."""
         self.reply = reply
         self.silent = False
         self.silent_since = float("inf")
         self.asked: list[GatewayMessage] = []
 
     def silence(self) -> float:
-        """Returns the seconds since it was heard."""
+        """Returns the seconds since the last contact with the owner."""
         return max(trio.current_time() - self.silent_since, 0.0)
 
     def owner_absent(self) -> float:
-        """Returns 0 unless its connection was lost."""
+        """Returns 0 unless the reply is a lost connection."""
         return 1.0 if self.reply is _LOST else 0.0
 
     async def store_answers(self) -> bool:
@@ -83,7 +84,7 @@
     async def ask_owner(
         self, message: GatewayMessage, timeout: float
     ) -> GatewayMessage:
-        """Answers as told."""
+        """Returns the reply or raises the error."""
         self.asked.append(message)
         if self.silent:
             await trio.sleep(timeout)
@@ -98,33 +99,33 @@
 _LOST = PeerUnreachableError("connection lost", sent=True)
 
 
-class NobodyNear:
-    """No other VM can be asked; see `NeighbourAccess`."""
+class NoPeers:
+    """A fake `PeerAccess` without other VMs."""
 
     async def run(self) -> None:
         """Does nothing."""
 
     async def ask(self, message: GatewayMessage) -> GatewayMessage:
-        """Refuses."""
+        """Raises PeerUnreachableError."""
         await trio.lowlevel.checkpoint()
         raise PeerUnreachableError("nobody near", sent=False)
 
 
 @asynccontextmanager
-async def _taking_in(
+async def _running_intake(
     owner: OwnerFake,
     store: StoreStandin,
     *,
     current: bool = True,
     vm: str = "vm",
-    neighbours: NeighbourAccess | None = None,
+    peers: PeerAccess | None = None,
 ) -> AsyncIterator[DurableIntake]:
     intake = DurableIntake(
         owner,
         owner.silence,
         FixedConfig(CONFIG, current=current),
         store.client(vm),
-        neighbours or NobodyNear(),
+        peers or NoPeers(),
     )
     async with trio.open_nursery() as nursery:
         nursery.start_soon(intake.run)
@@ -144,16 +145,18 @@
 async def test_nothing_is_stored_while_the_owner_answers() -> None:
     store = StoreStandin()
     for reply in (
-        _TAKEN_IN,
+        _ACCEPTED,
         JobAnswer(Outcome.NO_SUCH_JOB, None),
     ):
-        async with _taking_in(OwnerFake(reply), store) as intake:
-            assert await intake.ask_owner(_SUBMIT, 2.0) == reply, "its answer"
+        async with _running_intake(OwnerFake(reply), store) as intake:
+            assert await intake.ask_owner(_SUBMIT, 2.0) == reply, (
+                "the owner's reply"
+            )
     assert not store.calls, f"{store.calls} calls to the store"
 
 
 async def test_without_an_owner_a_burst_is_taken_in_at_once() -> None:
-    # 300 callers of one VM within 1.5 s; each gives up after 3 s.
+    # One VM gets 300 callers within 1.5 s; each gives up after 3 s.
     store = StoreStandin()
     took: list[float] = []
 
@@ -162,41 +165,41 @@
         asked_at = trio.current_time()
         message = _SUBMIT._replace(job=f"job{number}")
         reply = await intake.ask_owner(message, 2.7)
-        assert reply == _TAKEN_IN, f"taken in, not {reply}"
+        assert reply == _ACCEPTED, f"accepted, not {reply}"
         took.append(trio.current_time() - asked_at)
 
-    async with _taking_in(OwnerFake(ABSENT), store) as intake:
+    async with _running_intake(OwnerFake(ABSENT), store) as intake:
         async with trio.open_nursery() as nursery:
             for number in range(300):
                 nursery.start_soon(submit, intake, number)
     assert len(_keys(store)) == 300, f"{len(_keys(store))} are stored"
-    assert max(took) < 0.3, f"a tenth of their time: {max(took):.2f} s"
-    assert store.calls <= 150, f"gathered: {store.calls} calls"
+    assert max(took) < 0.3, f"over a tenth of the timeout: {max(took):.2f} s"
+    assert store.calls <= 150, f"not batched: {store.calls} calls"
 
 
 async def test_an_owner_that_falls_silent_is_not_waited_for() -> None:
     store = StoreStandin()
-    owner = OwnerFake(_TAKEN_IN)
+    owner = OwnerFake(_ACCEPTED)
     owner.silent, owner.silent_since = True, trio.current_time()
-    async with _taking_in(owner, store) as intake:
+    async with _running_intake(owner, store) as intake:
         asked_at = trio.current_time()
         reply = await intake.ask_owner(_SUBMIT, 2.7)
         took = trio.current_time() - asked_at
-    assert reply == _TAKEN_IN, f"taken in, not {reply}"
-    assert took < 1.0, f"well within the caller's time: {took:.2f} s"
+    assert reply == _ACCEPTED, f"accepted, not {reply}"
+    assert took < 1.0, f"too late for the caller: {took:.2f} s"
 
 
 async def test_a_slow_owner_that_is_heard_is_waited_for() -> None:
     store = StoreStandin()
-    owner = OwnerFake(_TAKEN_IN)
+    owner = OwnerFake(_ACCEPTED)
     owner.silent = True
-    async with _taking_in(owner, store) as intake:
+    async with _running_intake(owner, store) as intake:
         try:
             await intake.ask_owner(_SUBMIT, 2.7)
         except PeerUnreachableError as error:
             assert error.sent, "it may run"
         else:
-            raise AssertionError("answered for an owner that is heard")
+            raise AssertionError("answered instead of a responding owner")
     assert not store.calls, "nothing was stored"
 
 
@@ -204,9 +207,9 @@
     None
 ):
     store = StoreStandin()
-    async with _taking_in(OwnerFake(_LOST), store) as intake:
+    async with _running_intake(OwnerFake(_LOST), store) as intake:
         reply = await intake.ask_owner(_SUBMIT, 2.7)
-    assert reply == _TAKEN_IN, f"taken in, not {reply}"
+    assert reply == _ACCEPTED, f"accepted, not {reply}"
 
 
 async def test_an_owner_that_cannot_write_refuses_nobody_whose_vm_can() -> None:
@@ -216,53 +219,55 @@
         NotOwner("the cell is not owned here"),
     ):
         store = StoreStandin()
-        async with _taking_in(OwnerFake(refusal), store) as intake:
+        async with _running_intake(OwnerFake(refusal), store) as intake:
             reply = await intake.ask_owner(_SUBMIT, 2.7)
-        assert reply == _TAKEN_IN, f"taken in, not {reply}"
+        assert reply == _ACCEPTED, f"accepted, not {reply}"
 
 
 async def test_a_refusal_without_the_store_is_true() -> None:
     store = StoreStandin()
     store.faults.refused.add("vm")
-    async with _taking_in(OwnerFake(ABSENT), store) as intake:
+    async with _running_intake(OwnerFake(ABSENT), store) as intake:
         try:
             await intake.ask_owner(_SUBMIT, 2.7)
         except PeerUnreachableError as error:
             assert not error.sent, "not accepted"
         else:
-            raise AssertionError("taken in without a store")
+            raise AssertionError("accepted without a store")
     assert not _keys(store), "nothing was stored"
 
 
 async def test_a_lost_answer_of_the_store_leaves_the_caller_unsure() -> None:
     store = StoreStandin()
     store.faults.lost = 1.0
-    async with _taking_in(OwnerFake(ABSENT), store) as intake:
+    async with _running_intake(OwnerFake(ABSENT), store) as intake:
         try:
             await intake.ask_owner(_SUBMIT, 2.7)
         except PeerUnreachableError as error:
             assert error.sent, "it may run"
         else:
-            raise AssertionError("taken in without an answer")
+            raise AssertionError("accepted without the store's reply")
 
 
 async def test_a_vm_whose_configuration_may_be_old_takes_nothing_in() -> None:
     store = StoreStandin()
-    async with _taking_in(OwnerFake(ABSENT), store, current=False) as intake:
+    async with _running_intake(
+        OwnerFake(ABSENT), store, current=False
+    ) as intake:
         try:
             await intake.ask_owner(_SUBMIT, 2.7)
         except PeerUnreachableError as error:
             assert not error.sent, "not accepted"
         else:
-            raise AssertionError("taken in by an old configuration")
+            raise AssertionError("accepted with an old configuration")
 
 
 async def test_a_vm_stores_no_job_of_a_queue_that_was_dropped() -> None:
-    # Its owner knows that already, and the VM once it has looked, too.
+    # The owner knows that already, and the VM finds out when it checks.
     store = StoreStandin()
     refusal = NotOwner("the queue is not in force")
     dropped = _SUBMIT._replace(queue=QUEUE._replace(name="dropped"))
-    async with _taking_in(OwnerFake(refusal), store) as intake:
+    async with _running_intake(OwnerFake(refusal), store) as intake:
         assert await intake.ask_owner(dropped, 2.7) == refusal
     assert not _keys(store), "nothing was stored"
 
@@ -270,8 +275,10 @@
 async def test_questions_for_a_state_are_left_to_the_owner() -> None:
     store = StoreStandin()
     reply = JobAnswer(Outcome.STORE_AWAY, None)
-    async with _taking_in(OwnerFake(reply), store) as intake:
-        assert await intake.ask_owner(AskState("job1"), 1.0) == reply, "as told"
+    async with _running_intake(OwnerFake(reply), store) as intake:
+        assert await intake.ask_owner(AskState("job1"), 1.0) == reply, (
+            "the owner's reply"
+        )
     assert not store.calls, "nothing was stored"
 
 
@@ -285,7 +292,7 @@
             try:
                 await writer.put(Record(f"j{number}", b""))
             except StoreUnavailableError as error:
-                assert not error.sent, "surely not stored"
+                assert not error.sent, "not stored"
         nursery.cancel_scope.cancel()
     assert store.calls <= 3, f"{store.calls} calls for 100 callers"
 
@@ -295,13 +302,13 @@
     store.faults.away = True
     writer = IntakeWriter(store.client("vm"))
     began = trio.current_time()
-    told: dict[str, tuple[float, bool]] = {}
+    results: dict[str, tuple[float, bool]] = {}
 
     async def put(key: str) -> None:
         try:
             await writer.put(Record(key, b"1"))
         except StoreUnavailableError as error:
-            told[key] = trio.current_time() - began, error.sent
+            results[key] = trio.current_time() - began, error.sent
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(writer.run)
@@ -310,13 +317,13 @@
             await trio.sleep(0.5)
             callers.start_soon(put, "j2")
         nursery.cancel_scope.cancel()
-    assert told["j1"][1], "it may be stored"
-    took, sent = told["j2"]
+    assert results["j1"][1], "it may be stored"
+    took, sent = results["j2"]
     assert not sent and took < 1.2, f"not sent, {took:.2f} s"
 
 
-class _SizeNoted(StoreClientStandin):
-    """Notes how many bytes each append has; the platform takes 2 MB."""
+class _SizeRecorder(StoreClientStandin):
+    """Records the bytes of each append; the platform's limit is 2 MB."""
 
     sizes: list[int]
 
@@ -329,7 +336,7 @@
 
 
 async def test_what_waits_goes_to_the_store_in_appends_that_it_takes() -> None:
-    client = _SizeNoted(StoreStandin(), "vm")
+    client = _SizeRecorder(StoreStandin(), "vm")
     client.sizes = []
     writer = IntakeWriter(client)
     async with trio.open_nursery() as nursery:
@@ -358,8 +365,8 @@
     return _state(owner, job) is JobState.COMPLETED
 
 
-def _left(store: StoreStandin) -> list[str]:
-    """Returns the keys that were stored and not removed yet."""
+def _remaining_keys(store: StoreStandin) -> list[str]:
+    """Returns the stored keys that were not removed yet."""
     newest = {r.key: r.value for r in store.topic(TOPIC).records}
     return [key for key, value in newest.items() if value is not None]
 
@@ -370,7 +377,7 @@
     async with running(make_owner(store, hall, 1)) as owner:
         assert owner.desk.knows("job1"), "known as soon as it answers"
         await wait_until(lambda: _completed(owner, "job2"))
-        await wait_until(lambda: not _left(store))
+        await wait_until(lambda: not _remaining_keys(store))
     assert not find_twice(hall.journal), "no task ran twice"
 
 
@@ -382,7 +389,7 @@
         await _store_submissions(store, "job1")
         await wait_until(lambda: owner.desk.knows("job1"))
         took = trio.current_time() - stored_at
-        assert took < 1.0, f"before callers ask for it: {took:.2f} s"
+        assert took < 1.0, f"after callers ask for it: {took:.2f} s"
 
 
 async def test_a_job_that_two_vms_stored_and_an_owner_knew_runs_once() -> None:
@@ -392,9 +399,9 @@
         await _store_submissions(store, "job1")
         await _store_submissions(store, "job1")
         await wait_until(lambda: _completed(owner, "job1"))
-        # Sent again seconds after it was accepted.
+        # Stored again, seconds after the job was accepted.
         await _store_submissions(store, "job1")
-        await wait_until(lambda: not _left(store))
+        await wait_until(lambda: not _remaining_keys(store))
         await trio.sleep(3.0)
     assert not find_again(hall.journal), "no task ran again"
 
@@ -412,7 +419,8 @@
 
 
 async def test_an_owner_killed_after_it_took_jobs_up_loses_none() -> None:
-    # Killed at each point between reading, recording and removing.
+    # Killed at different points between reading the topic, recording the
+    # jobs and removing them from the topic.
     for moment in (0.0, 0.005, 0.01, 0.02, 0.03, 0.05, 0.1):
         store, hall = StoreStandin(), make_hall()
         async with running(make_owner(store, hall, 1)):
@@ -437,7 +445,9 @@
     async with running(make_owner(store, hall, 1)) as owner:
         await wait_until(lambda: _completed(owner, "job1"))
         await trio.sleep(2.0)
-    assert _left(store) == [record.key for record in unread], _left(store)
+    assert _remaining_keys(store) == [record.key for record in unread], (
+        _remaining_keys(store)
+    )
 
 
 async def test_a_cancel_that_was_stored_with_its_job_starts_nothing() -> None:
@@ -455,7 +465,7 @@
 
 async def test_a_cancel_without_an_owner_is_stored() -> None:
     store = StoreStandin()
-    async with _taking_in(OwnerFake(ABSENT), store) as intake:
+    async with _running_intake(OwnerFake(ABSENT), store) as intake:
         reply = await intake.ask_owner(CancelJob("job1"), 2.7)
     assert _outcome(reply) is Outcome.OK, "acknowledged"
     assert _keys(store) == [cancel_key("job1")], "stored"
--- a/tests/test_return_times.py
+++ b/tests/test_return_times.py
@@ -1,4 +1,4 @@
-"""When callers that are turned away are told to come back."""
+"""Tests when refused callers are told to retry."""
 
 from collections import Counter
 
@@ -8,11 +8,11 @@
 
 def test_those_turned_away_return_apart_and_not_too_soon() -> None:
     times = ReturnTimes()
-    told = [times.assign(1.2, 100.5) for _ in range(30)]
-    assert told[0] == 2.0
-    assert max(Counter(told).values()) <= const.RETURNS_A_SECOND
-    assert told == sorted(told)
-    assert max(told) == 3.0
+    assigned = [times.assign(1.2, 100.5) for _ in range(30)]
+    assert assigned[0] == 2.0
+    assert max(Counter(assigned).values()) <= const.RETURNS_A_SECOND
+    assert assigned == sorted(assigned)
+    assert max(assigned) == 3.0
 
 
 def test_a_time_that_is_known_is_told_however_late() -> None:
@@ -21,8 +21,8 @@
 
 def test_a_burst_is_not_told_to_stay_away_for_long() -> None:
     times = ReturnTimes()
-    told = [times.assign(0.0, 100.5) for _ in range(500)]
-    assert max(told) == const.RETRY_AFTER + const.RETURNS_SPREAD
+    assigned = [times.assign(0.0, 100.5) for _ in range(500)]
+    assert max(assigned) == const.RETRY_AFTER + const.RETURNS_SPREAD
 
 
 def test_those_told_before_do_not_count_for_ever() -> None:
--- a/tests/test_review_of_mends.py
+++ b/tests/test_review_of_mends.py
@@ -1,16 +1,17 @@
-"""What a cold look at the mends of a large cell found.
-
-A member's record became longer. A process of the former version can't read a
-longer one and keeps the record of the VM's process before: when the new process
-claims, the former version takes its claim for that of a process that was
-replaced, and claims at once, without watching it and as if it were quiet. While
-VMs are restarted with a new version that ends each take-over by a new process.
-
-A pass that was cut goes on where it ended, and what found no room stays out
-until all was looked at. A kind that has used up its misses stays out as well,
-with what has come in since: an urgent task with room waits for seconds. And a
-task that found no room at the beginning has lasting tasks give way at the end,
-though by then there is room for it.
+"""Tests for faults that a code review found in the fixes for large cells.
+
+Member records with an added field: a process of the former version can't decode
+them and keeps the record of the VM's previous process. It takes a claim of the
+new process for one of a process that was replaced, so it claims the cell at
+once, without watching the new owner first and as if no leases could be left.
+During a rolling update every take-over by a new process ends that way.
+
+Interrupted dispatch passes: a pass continues where the last one was
+interrupted, and tasks without a free place are skipped until all tasks were
+tried. If a kind of task is skipped after too many misses, that must not include
+tasks that arrived since, or an urgent task with a free place waits for seconds.
+And a task that found no place early in the pass must not evict lasting tasks at
+its end if a place has become free meanwhile.
 """
 
 from collections.abc import AsyncIterator, Callable
@@ -38,26 +39,27 @@
 from tests.slow_vm import ChargingClock, run_on_slow_vm
 from tests.test_pass_share import _busy_cell, _Cell, _more_starts
 
-# More than the steps without room after which a kind is passed over.
-_ROOMLESS = 45
-# As in the tests of what passes take: two passes and what others take.
+# More than the steps without room after which their kind is skipped.
+_STEPS_WITHOUT_ROOM = 45
+# Seconds for two passes and the other work of the thread, as in
+# tests/test_pass_share.py.
 _STARTED_WITHIN = 0.5
-# Processor seconds that placing a step is made to cost, and steps without
-# room: looking at each once takes 1.2 s.
+# Simulated processor seconds for placing a step, and the number of steps
+# without room: trying each once takes 1.2 s.
 _PLACE_COST = 0.02
-_FILLERS = 60
-# So many that one lasting task is a share that may give way.
+_BEST_EFFORT_JOBS = 60
+# Enough that the share of lasting tasks that may be evicted is one task.
 _WORKERS = 8
-# Half of a worker.
+# Half of a worker's capacity.
 _HALF = Size(4_000, 1_000, 0)
 _Place = Callable[[Placer, Step], list[Placement]]
-# Comes after QUEUE by the time that it has to spare, before what fills.
+# Ranks after QUEUE because it has more slack, and before best-effort tasks.
 _LAST = QUEUE._replace(name="last", priority=1)
 _LARGE = QUEUE._replace(name="large", target_latency=600.0)
 
 
 class _FormerMember(NamedTuple):
-    """A member as the former version knows it."""
+    """A member's record as the former version decodes it."""
 
     form: int
     vm: str
@@ -96,10 +98,10 @@
 
 @asynccontextmanager
 async def _cell_with_misses(clock: ChargingClock) -> AsyncIterator[_Cell]:
-    """Runs a busy cell in which less urgent tasks of the same kind wait."""
+    """Runs a busy cell with waiting, less urgent tasks of the same kind."""
     async with _busy_cell(clock) as cell:
         step = StepSpec(1, Size(1_000, 20_000, 0), 1.0)
-        for number in range(_ROOMLESS):
+        for number in range(_STEPS_WITHOUT_ROOM):
             await cell.owner.desk.submit(
                 f"r{number}", _LARGE, JobSpec("", (step,))
             )
@@ -121,20 +123,20 @@
         cell = DispatcherHarness(workers)
         short = JobSpec("", (StepSpec(1, _HALF, 1.0),))
         cell.book.accept("short", QUEUE, short)
-        for number in range(_FILLERS):
-            cell.book.accept(f"f{number}", _LAST, _filling(number))
-        placer = _Charged(clock)
+        for number in range(_BEST_EFFORT_JOBS):
+            cell.book.accept(f"f{number}", _LAST, _make_best_effort_job(number))
+        placer = _ChargedPlacer(clock)
         with mock.patch.object(Placer, "place", placer.place(Placer.place)):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(cell.run)
-                # The second time that all is looked at, in its midst.
-                await wait_until(lambda: placer.calls > _FILLERS * 1.5)
+                # In the middle of the second round over all tasks.
+                await wait_until(lambda: placer.calls > _BEST_EFFORT_JOBS * 1.5)
                 assert not cell.recorded.stopped
                 task, run = next(iter(workers[1].running()))
                 task.done = True
                 workers[1].remove(task, run.number)
                 cell.dispatcher.wake()
-                await wait_until(lambda: placer.calls > _FILLERS * 2.5)
+                await wait_until(lambda: placer.calls > _BEST_EFFORT_JOBS * 2.5)
                 nursery.cancel_scope.cancel()
         names = [task.name.job for _, task, _ in cell.recorded.stopped]
         assert not names, names
@@ -143,15 +145,15 @@
     run_on_slow_vm(1.0, play)
 
 
-class _Charged:
-    """Has each step that is looked at cost the same."""
+class _ChargedPlacer:
+    """Charges the same processor time for each call of `Placer.place`."""
 
     def __init__(self, clock: ChargingClock) -> None:
         self.calls = 0
         self._clock = clock
 
     def place(self, real: _Place) -> _Place:
-        """Returns what stands for `Placer.place`."""
+        """Returns a replacement for `Placer.place` that charges the clock."""
 
         def charged(placer: Placer, step: Step) -> list[Placement]:
             self.calls += 1
@@ -161,8 +163,8 @@
         return charged
 
 
-def _filling(number: int) -> JobSpec:
-    """Returns a job that fills and that no worker has the memory for."""
+def _make_best_effort_job(number: int) -> JobSpec:
+    """Returns a best-effort job that needs more memory than any worker has."""
     size = Size(1_000, 20_000, 0)
     step = StepSpec(1, size, 1.0, image=f"fill{number}", fills=True)
     return JobSpec("", (step,))
--- a/tests/test_silent_store.py
+++ b/tests/test_silent_store.py
@@ -146,7 +146,7 @@
             await trio.sleep(5.0 + step * 0.1)
             await vms.publish()
             await trio.sleep(0.2)
-            assert await vms.first.follower.make_current()
+            assert await vms.first.follower.ensure_current()
             assert vms.first.version == 2
 
 
@@ -156,7 +156,7 @@
         await trio.sleep(5.0)
         asked = vms.store.calls
         for _ in range(200):
-            assert await vms.first.follower.make_current()
+            assert await vms.first.follower.ensure_current()
             await trio.sleep(0.005)
         # Each look-up, and the waiting read that follows it.
         assert vms.store.calls - asked <= 2 * 10 + 2 * _VMS
@@ -169,7 +169,7 @@
         vms.store.faults.delay = 0.4
         began = trio.current_time()
         for _ in range(20):
-            await vms.first.follower.make_current()
+            await vms.first.follower.ensure_current()
         assert trio.current_time() - began < 0.25
 
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -33,7 +33,7 @@
 from pimentocross.observe import decisions
 from pimentocross.platform.settings import read_settings
 from tests import run_virtual
-from tests.gateway_fixtures import STRONG, UNKNOWN, WEAK, Vm, VmCell, processors
+from tests.gateway_fixtures import STRONG, UNKNOWN, WEAK, Vm, VmCell, vm_cores
 from tests.owner_fixtures import wait_until
 from tests.platform_fixtures import write_settings
 
@@ -52,9 +52,9 @@
 
 async def _start_all(cell: VmCell) -> None:
     """Starts a grown deployment's VMs, which were there before."""
-    for name, cores in processors().items():
-        await cell.list_member(name, f"{name}:0", cores)
-    for name, cores in processors().items():
+    for name, cores in vm_cores().items():
+        await cell.register_member(name, f"{name}:0", cores)
+    for name, cores in vm_cores().items():
         cell.start(name, cores)
 
 
@@ -72,25 +72,25 @@
             assert owner.cores == STRONG, cell.claims()
             cell.kill(owner)
             known = len(cell.claims())
-            await cell.next_claim(known)
+            await cell.wait_for_claim(known)
 
 
 async def _turn_strong_vms_away(seed: int) -> None:
     """Has the store turn all strong VMs but one away, the owner with them."""
     draw, cell = random.Random(seed), VmCell()
     async with cell.running():
-        for name, cores in processors().items():
-            await cell.list_member(name, f"{name}:0", cores)
-        for name, cores in processors().items():
+        for name, cores in vm_cores().items():
+            await cell.register_member(name, f"{name}:0", cores)
+        for name, cores in vm_cores().items():
             cell.start(name, cores)
             # Else all would notice the same thing at the same time.
             await trio.sleep(draw.uniform(0.0, const.HEARTBEAT_INTERVAL))
         await trio.sleep(const.YOUNG)
         owner = cell.owners()[0].name
-        strong = [name for name, c in processors().items() if c == STRONG]
+        strong = [name for name, c in vm_cores().items() if c == STRONG]
         left = draw.choice([name for name in strong if name != owner])
         cell.store.faults.refused = {owner, *strong} - {left}
-        await cell.next_claim(len(cell.claims()))
+        await cell.wait_for_claim(len(cell.claims()))
         assert cell.claims()[-1] == left, seed
 
 
@@ -111,16 +111,16 @@
         await _start_all(cell)
         owner = await _owner_of(cell)
         await trio.sleep(const.YOUNG)
-        strong = {name for name, c in processors().items() if c == STRONG}
+        strong = {name for name, c in vm_cores().items() if c == STRONG}
         cell.store.faults.refused = set(strong)
-        await cell.next_claim(len(cell.claims()))
+        await cell.wait_for_claim(len(cell.claims()))
         weak = cell.claims()[-1]
         assert weak not in strong and owner.name in strong
         await trio.sleep(4.0)
         cell.silence(cell.vms[weak], 5.0)
         await trio.sleep(silent_before)
         cell.store.faults.refused = set()
-        await cell.next_claim(len(cell.claims()))
+        await cell.wait_for_claim(len(cell.claims()))
         assert cell.claims()[-1] in strong, silent_before
 
 
@@ -142,19 +142,19 @@
     """
     cell = VmCell()
     async with cell.running():
-        for name, cores in processors().items():
+        for name, cores in vm_cores().items():
             cores = cores if told else UNKNOWN
-            await cell.list_member(name, f"{name}:0", cores)
-        await cell.claim_for(former)
+            await cell.register_member(name, f"{name}:0", cores)
+        await cell.write_claim(former)
         known = len(cell.claims())
         for name in alive:
-            cell.start(name, processors()[name] if told else UNKNOWN)
-        return await cell.next_claim(known)
+            cell.start(name, vm_cores()[name] if told else UNKNOWN)
+        return await cell.wait_for_claim(known)
 
 
 async def test_members_that_are_down_delay_a_claim_by_little() -> None:
-    weak = [name for name, cores in processors().items() if cores == WEAK]
-    strong = [name for name, cores in processors().items() if cores == STRONG]
+    weak = [name for name, cores in vm_cores().items() if cores == WEAK]
+    strong = [name for name, cores in vm_cores().items() if cores == STRONG]
     for told in (False, True):
         given_back = [
             await _time_to_claim("", [name], told=told) for name in weak[:8]
@@ -171,9 +171,9 @@
 
 async def test_a_new_owner_that_reads_for_long_is_let_to() -> None:
     cell = VmCell()
-    cell.reading_takes = 2.9
+    cell.read_duration = 2.9
     # Too busy to answer a heartbeat in time: only the store tells.
-    cell.answers_after = 1.0
+    cell.answer_delay = 1.0
     async with cell.running():
         for number in range(5):
             cell.start(f"vm{number}", UNKNOWN)
@@ -184,12 +184,12 @@
 
 async def test_a_new_owner_says_that_it_is_at_work() -> None:
     cell = VmCell()
-    cell.reading_takes = 2.9
+    cell.read_duration = 2.9
     async with cell.running():
         for number in range(5):
             cell.start(f"vm{number}", UNKNOWN)
         cell.kill(await _owner_of(cell))
-        await cell.next_claim(1)
+        await cell.wait_for_claim(1)
         before = decisions.counts()["suspect"]
         await _owner_of(cell)
         await trio.sleep(5)
@@ -238,7 +238,7 @@
 async def test_silent_take_overs_do_not_follow_one_another_for_ever() -> None:
     cell = VmCell()
     # Longer than a first successor is let to be silent.
-    cell.silent_for = 4.0
+    cell.silence_after_claim = 4.0
     async with cell.running():
         for number in range(5):
             cell.start(f"vm{number}", UNKNOWN)
@@ -254,9 +254,9 @@
         for number in range(8):
             cell.start(f"vm{number}", UNKNOWN)
         for _ in range(6):
-            await cell.next_claim(len(took))
+            await cell.wait_for_claim(len(took))
             cell.kill(cell.vms[cell.claims()[-1]])
-            took.append(await cell.next_claim(len(took) + 1))
+            took.append(await cell.wait_for_claim(len(took) + 1))
     assert took[0] < _FOLLOWED_WITHIN, took
     assert max(took) < _FOLLOWED_AT_MOST, took
 
@@ -300,7 +300,7 @@
         await trio.sleep(11.0)
         before = decisions.counts()["suspect"]
         cell.kill(owner)
-        took = await cell.next_claim(len(cell.claims()))
+        took = await cell.wait_for_claim(len(cell.claims()))
         await trio.sleep(3.0)
         suspects = decisions.counts()["suspect"] - before
     assert 1 <= suspects <= 6, suspects
@@ -315,7 +315,7 @@
         await trio.sleep(11.0)
         before = decisions.counts()["suspect"]
         # It writes, and is too busy to answer in time.
-        cell.answers_after = 1.0
+        cell.answer_delay = 1.0
         await trio.sleep(10.0)
         suspects = decisions.counts()["suspect"] - before
         assert len(cell.claims()) == 1, cell.claims()
@@ -343,8 +343,8 @@
 async def test_members_of_other_forms_are_known() -> None:
     cell = VmCell()
     async with cell.running():
-        await cell.list_member("old", "old:1", UNKNOWN)
-        await cell.list_member("new", "new:1", STRONG)
+        await cell.register_member("old", "old:1", UNKNOWN)
+        await cell.register_member("new", "new:1", STRONG)
         later = msgspec.msgpack.encode([3, "later", "later:1", "", WEAK, "x"])
         await cell.store.client("any").append(
             const.CLUSTER_TOPIC, [Record("m/later", later)], 1.0
