--- a/pimentocross/gateway/caller_requests.py
+++ b/pimentocross/gateway/caller_requests.py
@@ -142,14 +142,14 @@
         """Returns the queue of a path, or the answer if there is none."""
         if self._configs.config is None:
             return self._not_accepted("no configuration yet")
-        place = self._place(host, path)
-        if place is not None:
-            return place
+        queue_path = self._find_path(host, path)
+        if queue_path is not None:
+            return queue_path
         # A copy that is not fresh may lack a route confirmed a moment ago.
         current = await self._configs.ensure_current()
-        place = self._place(host, path)
-        if place is not None:
-            return place
+        queue_path = self._find_path(host, path)
+        if queue_path is not None:
+            return queue_path
         version = self._configs.config.version
         if not current:
             note("queue_unsure", host=host, version=version)
@@ -157,7 +157,7 @@
         note("no_such_queue", host=host, version=version)
         return Answer(AnswerKind.NO_SUCH_QUEUE)
 
-    def _place(self, host: str, path: str) -> QueuePath | None:
+    def _find_path(self, host: str, path: str) -> QueuePath | None:
         config = self._configs.config
         queue = config.find_queue(host, path) if config is not None else None
         if queue is None:
@@ -168,7 +168,7 @@
         return QueuePath(queue, rest)
 
     async def submit(
-        self, place: QueuePath, spec: JobSpec, deadline: float
+        self, queue_path: QueuePath, spec: JobSpec, deadline: float
     ) -> Answer:
         """Submits a job; `deadline` is how many seconds the caller waits.
 
@@ -178,19 +178,19 @@
         idempotent. If this VM can't reach the store either, the request is not
         repeated.
         """
-        message = SubmitJob(place.rest, place.queue, spec)
+        message = SubmitJob(queue_path.rest, queue_path.queue, spec)
         timeout = deadline * const.OWNER_SHARE
-        until = trio.current_time() + timeout
-        answer = await self._submit_once(place, message, timeout, timeout)
+        retry_until = trio.current_time() + timeout
+        answer = await self._submit_once(queue_path, message, timeout, timeout)
         while answer.kind is AnswerKind.UNKNOWN:
-            if trio.current_time() + const.ASK_AGAIN_PAUSE >= until:
+            if trio.current_time() + const.ASK_AGAIN_PAUSE >= retry_until:
                 break
             if not await self._owner.store_answers():
                 break
             await trio.sleep(const.ASK_AGAIN_PAUSE)
-            left = max(until - trio.current_time(), 0.0)
+            left = max(retry_until - trio.current_time(), 0.0)
             retried = await self._submit_once(
-                place, message, min(left, const.ASK_AGAIN_MOST), left
+                queue_path, message, min(left, const.ASK_AGAIN_MOST), left
             )
             # A refusal does not tell what came of the earlier request.
             if retried.kind is AnswerKind.ACCEPTED:
@@ -199,7 +199,7 @@
 
     async def _submit_once(
         self,
-        place: QueuePath,
+        queue_path: QueuePath,
         message: SubmitJob,
         timeout: float,
         max_wait: float,
@@ -208,9 +208,9 @@
         try:
             reply = await self._ask_within(message, timeout, max_wait)
         except PeerUnreachableError as error:
-            return self._unanswered(place.rest, error)
+            return self._unanswered(queue_path.rest, error)
         took = trio.current_time() - asked_at
-        self.histograms.record(Label("queue", place.queue.name), took)
+        self.histograms.record(Label("queue", queue_path.queue.name), took)
         if isinstance(reply, JobAnswer):
             if reply.outcome is Outcome.OK:
                 return Answer(AnswerKind.ACCEPTED)
@@ -220,18 +220,20 @@
             return self._with_retry_after(
                 AnswerKind.FULL, Outcome.FULL.value, reply.retry_after
             )
-        return self._refused(place.rest, reply)
+        return self._refused(queue_path.rest, reply)
 
     async def query(self, host: str, path: str, deadline: float) -> Answer:
         """Returns a job's state, or how many jobs wait in a queue."""
-        place = await self.find(host, path)
-        if isinstance(place, Answer):
-            return place
+        queue_path = await self.find(host, path)
+        if isinstance(queue_path, Answer):
+            return queue_path
         try:
-            if not place.rest:
-                reply = await self._ask(AskPending(place.queue.name), deadline)
+            if not queue_path.rest:
+                reply = await self._ask(
+                    AskPending(queue_path.queue.name), deadline
+                )
             else:
-                reply = await self._ask(AskState(place.rest), deadline)
+                reply = await self._ask(AskState(queue_path.rest), deadline)
         except PeerUnreachableError as error:
             return self._unavailable(str(error))
         if isinstance(reply, PendingAnswer) and reply.pending is not None:
@@ -240,11 +242,11 @@
 
     async def cancel(self, host: str, path: str, deadline: float) -> Answer:
         """Cancels a job."""
-        place = await self.find(host, path)
-        if isinstance(place, Answer):
-            return place
+        queue_path = await self.find(host, path)
+        if isinstance(queue_path, Answer):
+            return queue_path
         try:
-            reply = await self._ask(CancelJob(place.rest), deadline)
+            reply = await self._ask(CancelJob(queue_path.rest), deadline)
         except PeerUnreachableError as error:
             if error.sent:
                 return Answer(AnswerKind.UNKNOWN, reason=str(error))
--- a/pimentocross/gateway/config_follower.py
+++ b/pimentocross/gateway/config_follower.py
@@ -49,8 +49,8 @@
         Args:
             wait: Seconds to wait for a change.
             timeout: Seconds beyond `wait` to wait for a reply.
-            again_after: Seconds by which a reply may be overdue before the
-                request is sent once more.
+            again_after: Seconds beyond `wait` after which the request is sent
+                once more.
             urgent: Once set, the source is asked at once without a wait.
 
         Raises:
--- a/pimentocross/gateway/intake.py
+++ b/pimentocross/gateway/intake.py
@@ -259,7 +259,7 @@
             if error.sent and not failure.may_have_happened:
                 raise
             return failure.result()
-        if failure.may_have_happened and not _is_done(reply):
+        if failure.may_have_happened and not _is_ok(reply):
             # A refusal does not tell what came of the request to the owner.
             return failure.result()
         note("handed_over", job=message.job)
@@ -303,7 +303,7 @@
         return JobAnswer(Outcome.OK, JobState.QUEUED)
 
 
-def _is_done(reply: GatewayMessage) -> bool:
+def _is_ok(reply: GatewayMessage) -> bool:
     return isinstance(reply, JobAnswer) and reply.outcome is Outcome.OK
 
 
--- a/pimentocross/gateway/turns.py
+++ b/pimentocross/gateway/turns.py
@@ -81,7 +81,7 @@
 
 
 def find_stronger(
-    name: str, members: Mapping[str, Member], heard: Iterable[str]
+    name: str, members: Mapping[str, Member], reachable: Iterable[str]
 ) -> str:
     """Returns a reachable VM with far more cores than the owner's, or "".
 
@@ -91,7 +91,7 @@
     Args:
         name: The owner's VM.
         members: All members by VM.
-        heard: VMs with which there was contact recently.
+        reachable: VMs with which there was contact recently.
     """
     mine = members.get(name)
     if mine is None or not mine.cores:
@@ -100,7 +100,7 @@
     return next(
         (
             vm
-            for vm in heard
+            for vm in reachable
             if vm in members and members[vm].cores >= min_cores
         ),
         "",
--- a/tests/test_config_current.py
+++ b/tests/test_config_current.py
@@ -188,12 +188,12 @@
             nursery.start_soon(Cluster(client).follow)
         await trio.sleep(5.0)
         store.faults.away = True
-        most = 0
+        max_calls = 0
         for tick in range(100):
             if tick == 80:
                 store.faults.away = False
             before = store.calls
             await trio.sleep(0.1)
-            most = max(most, store.calls - before)
+            max_calls = max(max_calls, store.calls - before)
         nursery.cancel_scope.cancel()
-    assert most < 200 / 2, most
+    assert max_calls < 200 / 2, max_calls
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -236,7 +236,7 @@
 _Reply = GatewayMessage | PeerUnreachableError
 
 
-class _Owner:
+class _FakeOwner:
     """A fake owner: gives the replies in `first`, and then always `reply`."""
 
     def __init__(
@@ -267,14 +267,14 @@
 
 
 async def _submitted(reply: _Reply) -> Answer:
-    return await _submitted_to(_Owner(reply))
+    return await _submitted_to(_FakeOwner(reply))
 
 
-async def _submitted_to(owner: _Owner) -> Answer:
+async def _submitted_to(owner: _FakeOwner) -> Answer:
     handler = CallerRequestHandler(FixedConfig(CONFIG), owner)
-    place = await handler.find("host", "/plans/j1")
-    assert not isinstance(place, Answer)
-    return await handler.submit(place, chain(1, 1), 3.0)
+    queue_path = await handler.find("host", "/plans/j1")
+    assert not isinstance(queue_path, Answer)
+    return await handler.submit(queue_path, chain(1, 1), 3.0)
 
 
 async def test_a_successor_is_asked_for_what_its_predecessor_left_open() -> (
@@ -288,10 +288,12 @@
     #     18.5 s platform_down (silent) leader;  how tries ended: 504: 34
     #     submit_unanswered sent true "no answer";  20.6 s claim, 21.3 s ready
     lost = PeerUnreachableError("no answer", sent=True)
-    gone = PeerUnreachableError("no owner is known", sent=False)
+    no_owner = PeerUnreachableError("no owner is known", sent=False)
     for unsure in (JobAnswer(Outcome.UNSURE, None), lost):
-        taken = JobAnswer(Outcome.OK, JobState.QUEUED)
-        owner = _Owner(taken, first=[unsure, gone, NotOwner("moved"), gone])
+        accepted = JobAnswer(Outcome.OK, JobState.QUEUED)
+        owner = _FakeOwner(
+            accepted, first=[unsure, no_owner, NotOwner("moved"), no_owner]
+        )
         owner.store_away = False
         answer = await _submitted_to(owner)
         assert answer.kind is AnswerKind.ACCEPTED
@@ -300,7 +302,7 @@
         assert len({message.job for message in _submissions(owner)}) == 1
 
 
-def _submissions(owner: _Owner) -> list[SubmitJob]:
+def _submissions(owner: _FakeOwner) -> list[SubmitJob]:
     return [m for m in owner.asked if isinstance(m, SubmitJob)]
 
 
@@ -312,7 +314,7 @@
         FullAnswer(5.0),
         NotOwner("moved"),
     ):
-        owner = _Owner(later, first=[unsure])
+        owner = _FakeOwner(later, first=[unsure])
         owner.store_away = False
         began = trio.current_time()
         answer = await _submitted_to(owner)
@@ -321,7 +323,7 @@
 
 
 async def test_nobody_is_waited_for_while_the_whole_store_is_away() -> None:
-    owner = _Owner(JobAnswer(Outcome.UNSURE, None))
+    owner = _FakeOwner(JobAnswer(Outcome.UNSURE, None))
     began = trio.current_time()
     assert (await _submitted_to(owner)).kind is AnswerKind.UNKNOWN
     assert trio.current_time() - began < 0.1
@@ -349,14 +351,14 @@
 
 async def test_an_unsure_owner_never_denies_a_job() -> None:
     handler = CallerRequestHandler(
-        FixedConfig(CONFIG), _Owner(NotOwner("moved"))
+        FixedConfig(CONFIG), _FakeOwner(NotOwner("moved"))
     )
     answer = await handler.query("host", "/plans/j1", 3.0)
     assert answer.kind is AnswerKind.UNAVAILABLE
     assert AskState("j1").job == "j1"
 
 
-class _SlowOwner(_Owner):
+class _SlowOwner(_FakeOwner):
     """Exceeds its timeout, as requests forwarded to other VMs may."""
 
     async def ask_owner(
@@ -370,10 +372,10 @@
     handler = CallerRequestHandler(
         FixedConfig(CONFIG), _SlowOwner(NotOwner("moved"))
     )
-    place = await handler.find("host", "/plans/j1")
-    assert not isinstance(place, Answer)
+    queue_path = await handler.find("host", "/plans/j1")
+    assert not isinstance(queue_path, Answer)
     began = trio.current_time()
-    answer = await handler.submit(place, chain(1, 1), 3.0)
+    answer = await handler.submit(queue_path, chain(1, 1), 3.0)
     assert trio.current_time() - began < 3.0
     assert answer.kind is AnswerKind.UNKNOWN, "it may run"
     began = trio.current_time()
@@ -385,18 +387,18 @@
 async def test_what_is_too_long_for_an_id_is_no_job_of_a_queue() -> None:
     # The store's keys have at most 255 bytes; longer ones can't be written.
     handler = CallerRequestHandler(
-        FixedConfig(CONFIG), _Owner(NotOwner("moved"))
+        FixedConfig(CONFIG), _FakeOwner(NotOwner("moved"))
     )
-    for rest, taken in (("a" * 200, True), ("a" * 300, False)):
+    for rest, accepted in (("a" * 200, True), ("a" * 300, False)):
         found = await handler.find("host", "/plans/" + rest)
-        assert isinstance(found, Answer) is not taken, len(rest)
+        assert isinstance(found, Answer) is not accepted, len(rest)
     found = await handler.find("host", "/plans/" + "\xe9" * 200)
     assert isinstance(found, Answer), "by its bytes"
 
 
 def test_readiness_follows_configuration_owner_and_drain() -> None:
     configs = FixedConfig(None)
-    owner = _Owner(NotOwner(""), absent=0.0)
+    owner = _FakeOwner(NotOwner(""), absent=0.0)
     handler = CallerRequestHandler(configs, owner)
     assert not handler.ready()
     configs.config = CONFIG
