--- a/pimentocross/gateway/node.py
+++ b/pimentocross/gateway/node.py
@@ -8,7 +8,7 @@
 from pimentocross.contracts.store import StoreUnavailableError
 from pimentocross.contracts.switches import Part
 from pimentocross.gateway import const
-from pimentocross.gateway.caller_desk import CallerDesk
+from pimentocross.gateway.caller_requests import CallerRequestHandler
 from pimentocross.gateway.cluster import Cluster, Member, member_record
 from pimentocross.gateway.config_follower import ConfigFollower, ConfigSource
 from pimentocross.gateway.election import Election
@@ -97,7 +97,7 @@
             PeerForwarder(self._own_identity, self._other_vms, dial_tcp),
         )
         self._intake_enabled = settings.switches.is_on(Part.INTAKE)
-        self.desk = CallerDesk(
+        self.desk = CallerRequestHandler(
             self._configs, self._intake if self._intake_enabled else self
         )
         self._stop = trio.Event()
@@ -259,7 +259,7 @@
         if isinstance(message, Heartbeat):
             return BriefOwnerStatus(*self._election.owner_status()[:3])
         if isinstance(message, ForwardedRequest) and self._intake_enabled:
-            return await self._intake.take_over(message)
+            return await self._intake.serve_forwarded(message)
         if owner is None or not owner.ready.is_set():
             return NotOwner("the cell is not owned here")
         return await self._answer_as_owner(owner, message)
@@ -271,7 +271,7 @@
             case SubmitJob(job, queue, spec):
                 known: Queue | None = queue
                 if not owner.desk.knows(job):
-                    known = await self._configs.in_force(queue)
+                    known = await self._configs.current_queue(queue)
                 if known is None:
                     return NotOwner("the queue is not in force")
                 return job_answer(await _submit(owner, job, known, spec))
--- a/tests/random_take_overs.py
+++ b/tests/random_take_overs.py
@@ -88,7 +88,7 @@
         self._cell = VmCell()
         self._hall: WorkerHall = make_hall(_WORKER_COUNT, self._plan_task)
         self._cell.hall = self._hall
-        self._cell.reading_takes = self._rng.choice((0.0, 0.3, 1.0))
+        self._cell.read_duration = self._rng.choice((0.0, 0.3, 1.0))
         # If workers don't report when they were started, owners don't wait for
         # task starts that may arrive late.
         self._reports_births = self._rng.random() < 0.5
