--- a/pimentocross/gateway/intake_writer.py
+++ b/pimentocross/gateway/intake_writer.py
@@ -62,7 +62,7 @@
             raise StoreUnavailableError("store away", sent=False)
         if len(self._waiting) >= _MAX_WAITING_RECORDS:
             raise StoreUnavailableError(
-                "too many records wait for it", sent=False
+                "too much waits for it", sent=False
             )
         entry = _Entry(record)
         self._waiting.append(entry)
--- a/pimentocross/gateway/peer_forwarder.py
+++ b/pimentocross/gateway/peer_forwarder.py
@@ -98,7 +98,7 @@
         sent = False
         if trio.current_time() < self._cooldown_until:
             raise PeerUnreachableError(
-                "other VMs failed a moment ago", sent=sent
+                "no other VM was a help", sent=sent
             )
         for _ in range(_MAX_ATTEMPTS):
             link = await self._connect()
@@ -114,7 +114,7 @@
             self._drop_link(link)
         self._cooldown_until = trio.current_time() + _FAILURE_COOLDOWN
         raise PeerUnreachableError(
-            "no other VM could serve the request", sent=sent
+            "no other VM is a help", sent=sent
         )
 
     def _make_link(self, peer: PeerAddress) -> PeerLink[GatewayMessage]:
