--- a/pimentocross/gateway/intake_writer.py
+++ b/pimentocross/gateway/intake_writer.py
@@ -61,9 +61,7 @@
         if trio.current_time() < self._away_until:
             raise StoreUnavailableError("store away", sent=False)
         if len(self._waiting) >= _MAX_WAITING_RECORDS:
-            raise StoreUnavailableError(
-                "too much waits for it", sent=False
-            )
+            raise StoreUnavailableError("too much waits for it", sent=False)
         entry = _Entry(record)
         self._waiting.append(entry)
         self._wake.set()
--- a/pimentocross/gateway/peer_forwarder.py
+++ b/pimentocross/gateway/peer_forwarder.py
@@ -97,9 +97,7 @@
         """
         sent = False
         if trio.current_time() < self._cooldown_until:
-            raise PeerUnreachableError(
-                "no other VM was a help", sent=sent
-            )
+            raise PeerUnreachableError("no other VM was a help", sent=sent)
         for _ in range(_MAX_ATTEMPTS):
             link = await self._connect()
             if link is None:
@@ -113,9 +111,7 @@
                     return answer
             self._drop_link(link)
         self._cooldown_until = trio.current_time() + _FAILURE_COOLDOWN
-        raise PeerUnreachableError(
-            "no other VM is a help", sent=sent
-        )
+        raise PeerUnreachableError("no other VM is a help", sent=sent)
 
     def _make_link(self, peer: PeerAddress) -> PeerLink[GatewayMessage]:
         return PeerLink(
