--- a/bench/large_owner.py
+++ b/bench/large_owner.py
@@ -24,7 +24,7 @@
 )
 from bench.wire_parts import make_parts, measure_calls, print_parts
 from pimentocross.contracts.worker_link import Ending, WorkerLife
-from pimentocross.contracts.zones import EveryZone
+from pimentocross.contracts.zones import AllZonesOpen
 from pimentocross.owner.former_leases import FormerLeases
 from pimentocross.owner.jobs import JobBook
 from pimentocross.owner.learned import Learned
@@ -80,7 +80,7 @@
             self.ledger,
             former_leases,
             lambda: CONFIG,
-            EveryZone(),
+            AllZonesOpen(),
         )
         self.holds = 0
         self.entries = 0
--- a/examples/parts/budgets.py
+++ b/examples/parts/budgets.py
@@ -14,7 +14,7 @@
         budget.note_request()
         retries += budget.try_spend()
     print("1000 failed requests led to", retries, "retries")
-    limit = AdaptiveLimit(most=64)
+    limit = AdaptiveLimit(max_limit=64)
     for latency in [0.01] * 200 + [0.2] * 200:
         limit.note_answer(latency)
     print("limit falls from 64 to", limit.limit)
--- a/pimentocross/contracts/__init__.py
+++ b/pimentocross/contracts/__init__.py
@@ -1,1 +1,1 @@
-"""Coordination parts, each usable alone: log fold, ownership, budgets."""
+"""Coordination building blocks: log fold, ownership, drain, retry budget."""
--- a/pimentocross/contracts/adviser.py
+++ b/pimentocross/contracts/adviser.py
@@ -1,11 +1,11 @@
-"""What an owner needs of the service that knows who may run a step."""
+"""Interface to the service that decides which workers may run a step."""
 
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple, Protocol
 
 
 class StepName(NamedTuple):
-    """Names one step of one occurrence of a job."""
+    """Identifies one step of one occurrence of a job."""
 
     job: str
     occurrence: int
@@ -13,11 +13,11 @@
 
 
 class Advice(NamedTuple):
-    """Tickets of the workers that may run a step.
+    """Tickets for the workers that may run a step.
 
     Attributes:
-        tickets: By id of the worker's life.
-        validity: Seconds for which they hold.
+        tickets: Tickets by the id of the worker life.
+        validity: Seconds for which the tickets are valid.
     """
 
     tickets: Mapping[str, str]
@@ -25,11 +25,11 @@
 
 
 class AdviserUnavailableError(Exception):
-    """The adviser did not answer, or has too much to do."""
+    """The adviser did not answer, or is overloaded."""
 
 
 class Adviser(Protocol):
-    """Knows which workers may run a step; takes one call at a time."""
+    """Decides which workers may run a step; serves one call at a time."""
 
     async def advise(
         self, step: StepName, workers: Sequence[str], timeout: float
@@ -37,6 +37,6 @@
         """Returns tickets for those of the workers that may run a step.
 
         Raises:
-            AdviserUnavailableError: No answer.
+            AdviserUnavailableError: The adviser gave no answer.
         """
         ...
--- a/pimentocross/contracts/authority.py
+++ b/pimentocross/contracts/authority.py
@@ -1,17 +1,19 @@
-"""When a process may act as owner, and when it may claim.
+"""When a process may act as owner of a resource, and when it may claim one.
 
 Three rules keep two owners from acting at once, without a vote:
 
 1. An owner acts only within the confidence window after it read the
    ownership stream to its end, itself or through a peer, or after every
-   other member told it directly that it has read nothing further.
-2. A claimant acts on what an unreachable holder may still hold only after
-   the confidence window and the lease have passed since it read its claim.
-3. A member may claim only after every earlier member has acknowledged it,
-   so that each of them asks it too under rule 1.
-
-All times are of this process's monotonic clock and count from before the
-question was sent.
+   other member stated directly that it has read no further.
+2. A claimant waits before it acts on anything on which an unreachable holder
+   may still have a lease: the confidence window and the lease must have
+   passed since the claimant read its own claim.
+3. A member may claim only after every earlier member has acknowledged it.
+   From then on, each of them includes it in the members it asks under
+   rule 1.
+
+All times are on this process's monotonic clock. The time of an answer is the
+time before its request was sent.
 """
 
 from typing import NamedTuple
@@ -37,7 +39,7 @@
     """Durations of the ownership rules, in seconds.
 
     Attributes:
-        confidence: How long one confirmation lets an owner act.
+        confidence: How long an owner may act after a confirmation.
         lease: The longest lease that an owner grants.
         drift: Largest relative difference between two clocks' rates.
     """
@@ -48,25 +50,25 @@
 
     @property
     def lease_wait(self) -> float:
-        """How long to wait for a lease of another clock to lapse."""
+        """How long a lease timed by another clock can take to expire."""
         return self.lease * (1 + self.drift)
 
     @property
     def takeover_wait(self) -> float:
-        """How long a claimant waits for what it cannot reach."""
+        """How long a claimant waits for an unreachable holder's leases."""
         return (self.confidence + self.lease) * (1 + self.drift)
 
 
 class Statement(NamedTuple):
-    """What a member answers to "have you read anything further?".
+    """A member's answer to the question how far it has read the stream.
 
     Attributes:
         member: Process id of the member that answers.
         position: Its position in the ownership stream.
-        read_age: Seconds since it sent the read that last reached the
-            stream's end, or None if it never did.
-        acknowledged: Newcomers that it has acknowledged and that its fold
-            may not hold yet.
+        read_age: Seconds since it sent the latest read that reached the
+            stream's end, or None if no read has reached it.
+        acknowledged: Newcomers that it has acknowledged but that may not be
+            in its fold yet.
     """
 
     member: str
@@ -76,7 +78,7 @@
 
 
 class Authority:
-    """One process's standing in the ownership stream."""
+    """What one process may do under the ownership rules."""
 
     def __init__(
         self,
@@ -84,12 +86,18 @@
         process: str,
         timing: Timing,
     ) -> None:
-        """Binds a process id, unique for ever, to a fold and its timing."""
+        """Initializes the authority of a process.
+
+        Args:
+            fold: The fold of the ownership stream.
+            process: The process id, which is never used again.
+            timing: The durations of the rules.
+        """
         self._fold = fold
         self._process = process
         self._timing = timing
-        self._told_at: dict[str, float] = {}
-        self._peer_read_at = NEVER
+        self._statement_at: dict[str, float] = {}
+        self._peer_read_to_end_at = NEVER
         self._acknowledged: set[str] = set()
         self._acknowledged_by: set[str] = set()
         self._claim_read_at: dict[str, float] = {}
@@ -111,15 +119,15 @@
 
     @property
     def confirmed_at(self) -> float:
-        """Start of the newest confirmation under rule 1."""
+        """When the latest confirmation under rule 1 was requested."""
         if not self._fold.ready:
             return NEVER
-        read_at = max(self._fold.read_to_end_at, self._peer_read_at)
-        return max(read_at, self._told_by_all_at())
+        read_at = max(self._fold.read_to_end_at, self._peer_read_to_end_at)
+        return max(read_at, self._all_statements_at())
 
     @property
-    def acts_until(self) -> float:
-        """Until when this process may act on what it owns."""
+    def may_act_until(self) -> float:
+        """Until when this process may act on the resources it owns."""
         return self.confirmed_at + self._timing.confidence
 
     @property
@@ -128,22 +136,22 @@
         return self._process in self._fold.state.members
 
     def statement(self) -> Statement:
-        """Returns what this member can say now."""
+        """Returns this member's statement as of now."""
         read_at = self._fold.read_to_end_at
         age = None if read_at == NEVER else trio.current_time() - read_at
         return Statement(
             self._process,
-            # Also while a gap is open: what was read once was read.
+            # Valid also while a gap is open: records past the gap were read.
             self._fold.position,
             age,
             sorted(self._newcomers()),
         )
 
     def acknowledge(self, newcomer: str) -> bool:
-        """Promises to ask the newcomer too under rule 1.
+        """Includes a newcomer in the members that are asked under rule 1.
 
         Returns:
-            False if the newcomer was removed, so that nothing is promised.
+            False if the newcomer was removed and is therefore not included.
         """
         if self._fold.state.is_removed(newcomer):
             return False
@@ -151,79 +159,79 @@
         return True
 
     def note_acknowledged_by(self, member: str) -> None:
-        """Notes that a member has acknowledged this process."""
+        """Records that a member has acknowledged this process."""
         self._acknowledged_by.add(member)
 
-    def note_statement(self, said: Statement, asked_at: float) -> bool:
-        """Takes a member's statement in.
+    def note_statement(self, statement: Statement, asked_at: float) -> bool:
+        """Records a member's statement.
 
         Returns:
-            False if the member has read further, so that its statement
-            counts only after this fold has caught up.
+            False if the statement is ignored, because the member has read
+            further than this fold or this fold is not ready.
         """
-        for newcomer in said.acknowledged:
+        for newcomer in statement.acknowledged:
             if newcomer != self._process:
                 self.acknowledge(newcomer)
-        if not self._fold.ready or said.position > self._fold.position:
+        if not self._fold.ready or statement.position > self._fold.position:
             return False
-        self._told_at[said.member] = asked_at
-        if said.read_age is not None:
-            read_at = asked_at - said.read_age * (1 + self._timing.drift)
-            # The end that it read then lies below this fold's position.
-            self._peer_read_at = max(self._peer_read_at, read_at)
+        self._statement_at[statement.member] = asked_at
+        if statement.read_age is not None:
+            read_at = asked_at - statement.read_age * (1 + self._timing.drift)
+            # This fold's position is not below the end that the member read.
+            self._peer_read_to_end_at = max(self._peer_read_to_end_at, read_at)
         return True
 
     def may_act(self, resource: str) -> bool:
         """True if this process owns the resource and is confirmed."""
-        return self.owns(resource) and trio.current_time() < self.acts_until
+        return self.owns(resource) and trio.current_time() < self.may_act_until
 
     def owns(self, resource: str) -> bool:
-        """True if the newest claim folded is this process's."""
+        """True if the newest folded claim is this process's own."""
         ownership = self._fold.state.ownership(resource)
-        mine = ownership.process == self._process
-        return mine and not ownership.released and self.is_member
+        is_own = ownership.process == self._process
+        return is_own and not ownership.released and self.is_member
 
     def epoch(self, resource: str) -> int:
-        """Returns the newest epoch folded."""
+        """Returns the newest folded epoch of a resource, 0 if never claimed."""
         return self._fold.state.ownership(resource).epoch
 
     def may_claim(self) -> bool:
         """True if every earlier member has acknowledged this one."""
         members = self._fold.state.members
-        me = members.get(self._process)
-        if me is None or not self._fold.ready:
+        own = members.get(self._process)
+        if own is None or not self._fold.ready:
             return False
-        earlier = {m.process for m in members.values() if m.offset < me.offset}
+        earlier = {m.process for m in members.values() if m.offset < own.offset}
         return earlier <= self._acknowledged_by
 
     def takeover_done_at(self, resource: str) -> float:
-        """Returns when rule 2 lets this owner act on unreachable holders."""
+        """Returns when the wait of rule 2 for unreachable holders ends."""
         read_at = self._claim_read_at.get(resource)
         if read_at is None:
             return float("inf")
         return read_at + self._timing.takeover_wait
 
     async def join(self, joined: MemberJoined, timeout: float) -> Verdict:
-        """Asks in the log to become a member."""
+        """Appends a request to become a member."""
         return await self._publish(KINDS.encode(joined), timeout)
 
     async def remove(self, member: str, timeout: float) -> Verdict:
-        """Records that a member's VM is gone."""
+        """Appends that a member's VM is gone."""
         return await self._publish(KINDS.encode(MemberRemoved(member)), timeout)
 
     async def claim(self, resource: str, timeout: float) -> Verdict:
-        """Claims a resource from the epoch that this fold holds."""
+        """Claims a resource, provided its epoch is still the folded one."""
         base = self.epoch(resource)
         record = Claimed(resource, self._process, base)
         return await self._publish(KINDS.encode(record), timeout)
 
     async def release(self, resource: str, timeout: float) -> Verdict:
-        """Gives a resource up; the caller has stopped acting on it."""
+        """Releases a resource; the caller must have stopped acting on it."""
         record = Released(resource, self.epoch(resource))
         return await self._publish(KINDS.encode(record), timeout)
 
     def note_claim_read(self, resource: str) -> None:
-        """Starts rule 2's wait: this process has read its own claim."""
+        """Starts the wait of rule 2, as this process read its own claim."""
         self._claim_read_at[resource] = trio.current_time()
 
     async def _publish(
@@ -239,10 +247,11 @@
             if n not in state.members and not state.is_removed(n)
         }
 
-    def _told_by_all_at(self) -> float:
+    def _all_statements_at(self) -> float:
         asked = set(self._fold.state.members) | self._newcomers()
         asked.discard(self._process)
         if not asked:
-            # Alone, nobody could tell of a take-over: only reads count.
+            # Without other members, nobody could report a take-over, so only
+            # reads count as confirmation.
             return NEVER
-        return min(self._told_at.get(member, NEVER) for member in asked)
+        return min(self._statement_at.get(member, NEVER) for member in asked)
--- a/pimentocross/contracts/const.py
+++ b/pimentocross/contracts/const.py
@@ -1,25 +1,29 @@
-"""Constants of the coordination parts. All durations are seconds."""
+"""Constants of the coordination building blocks.
+
+All durations are in seconds.
+"""
 
 from typing import Final
 
-# A log that has failed for this long is taken to be away.
-AWAY_AFTER: Final = 1.0
-LONG_POLL: Final = 5.0
-# On top of the long poll; a read that takes longer has failed.
-READ_PATIENCE: Final = 4.0
-READ_BACKOFF_FIRST: Final = 0.05
-READ_BACKOFF_MOST: Final = 1.0
-APPEND_BACKOFF_FIRST: Final = 0.05
-APPEND_BACKOFF_MOST: Final = 0.5
-# Records that wait for the log while it is away; older ones are dropped.
-OUTBOX_MOST: Final = 10_000
-# Records that are not urgent gather for this long before an append.
+# A log that has failed for this long is considered unavailable.
+LOG_UNAVAILABLE_AFTER: Final = 1.0
+LONG_POLL_WAIT: Final = 5.0
+# Added to the long poll's wait; a read that takes longer has failed.
+READ_TIMEOUT_MARGIN: Final = 4.0
+INITIAL_READ_BACKOFF: Final = 0.05
+MAX_READ_BACKOFF: Final = 1.0
+INITIAL_APPEND_BACKOFF: Final = 0.05
+MAX_APPEND_BACKOFF: Final = 0.5
+# Records queued while the log is unavailable; beyond this number the oldest
+# are dropped.
+MAX_OUTBOX_RECORDS: Final = 10_000
+# Records that are not urgent are batched for this long before an append.
 LINGER: Final = 0.35
-APPEND_BATCH_MOST: Final = 256
+MAX_APPEND_BATCH: Final = 256
 
-# Offsets behind the newest within which a repeated record id is folded once.
+# A record id is folded only once if it repeats within this many offsets.
 DEDUPLICATION_WINDOW: Final = 1_000
-# Records kept in memory so that a peer that is behind can be fed.
+# Records kept in memory to send to a peer whose fold is behind.
 RECENT_RECORDS: Final = 1_000
 
 CONFIDENCE_WINDOW: Final = 30.0
--- a/pimentocross/contracts/drain.py
+++ b/pimentocross/contracts/drain.py
@@ -1,4 +1,4 @@
-"""A graceful stop: nothing new is let in, what is in flight finishes."""
+"""Graceful shutdown: rejects new work and waits for work in flight."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -7,14 +7,14 @@
 
 
 class DrainingError(Exception):
-    """Something new came in after the drain began."""
+    """Work was offered after the drain began."""
 
 
 class Drain:
-    """Counts what is in flight and lets a stop wait for it."""
+    """Counts the work in flight and lets a shutdown wait for it."""
 
     def __init__(self) -> None:
-        """Starts open."""
+        """Initializes a drain that has not begun and admits work."""
         self._in_flight = 0
         self._begun = trio.Event()
         self._idle = trio.Event()
@@ -22,17 +22,17 @@
 
     @property
     def begun(self) -> bool:
-        """True once nothing new is let in."""
+        """True once no new work is admitted."""
         return self._begun.is_set()
 
     @property
     def in_flight(self) -> int:
-        """What was let in and has not finished."""
+        """Number of pieces of work that were admitted and have not finished."""
         return self._in_flight
 
     @contextmanager
     def admit(self) -> Iterator[None]:
-        """Counts a piece of work for as long as the block runs.
+        """Counts a piece of work as in flight while the block runs.
 
         Raises:
             DrainingError: The drain has begun.
@@ -50,7 +50,7 @@
                 self._idle.set()
 
     def begin(self) -> None:
-        """Lets nothing new in from now on."""
+        """Rejects new work from now on."""
         self._begun.set()
 
     async def wait_begun(self) -> None:
@@ -58,10 +58,10 @@
         await self._begun.wait()
 
     async def finish(self, timeout: float) -> int:
-        """Waits for what is in flight.
+        """Waits up to `timeout` seconds for the work in flight.
 
         Returns:
-            How much had not finished when the timeout ran out.
+            The number of pieces of work that are still in flight.
         """
         with trio.move_on_after(timeout):
             await self._idle.wait()
--- a/pimentocross/contracts/fold.py
+++ b/pimentocross/contracts/fold.py
@@ -1,7 +1,7 @@
-"""A stream of the log, folded into one state that every reader shares.
+"""Folds a stream of the log into a replicated state.
 
 Every reader applies the same records in the same order and so reaches the
-same state; a record that does not apply is rejected by all of them alike.
+same state. A record that can't be applied is rejected by every reader alike.
 """
 
 from collections import OrderedDict, deque
@@ -20,7 +20,11 @@
     RecordBody,
 )
 from pimentocross.contracts import const
-from pimentocross.contracts.asking import AGAIN_AFTER, Question, first_answer
+from pimentocross.contracts.hedging import (
+    HEDGE_DELAY,
+    RequestAttempt,
+    first_answer,
+)
 from pimentocross.contracts.outbox import Outbox, Outcome, Pending, Verdict
 from pimentocross.contracts.store import StoreUnavailableError
 
@@ -28,10 +32,10 @@
 
 
 class FoldState(Protocol):
-    """A state that records are folded into, deterministically."""
+    """A state into which records are folded deterministically."""
 
     def apply(self, offset: int, body: RecordBody) -> str | None:
-        """Folds one record; returns why it is rejected, or None."""
+        """Folds one record; returns the reason if it is rejected, or None."""
         ...
 
     def dump(self) -> RecordBody:
@@ -39,7 +43,7 @@
         ...
 
     def load(self, dump: RecordBody) -> None:
-        """Replaces the state by a dumped one."""
+        """Replaces the state with a dumped one."""
         ...
 
 
@@ -47,21 +51,21 @@
 
 
 class FoldedId(NamedTuple):
-    """A record id that was folded lately, where, and why it was rejected."""
+    """Id and offset of a recently folded record; the reason if rejected."""
 
     record_id: str
     offset: int
     reason: str | None
 
     def verdict(self) -> Verdict:
-        """Returns what became of the record."""
+        """Returns the verdict on the record."""
         accepted = self.reason is None
         outcome = Outcome.ACCEPTED if accepted else Outcome.REJECTED
         return Verdict(outcome, self.offset, self.reason or "")
 
 
 class FoldDump(NamedTuple):
-    """A whole fold, as a peer or a snapshot record carries it."""
+    """A complete fold, as sent to a peer or stored in a snapshot record."""
 
     position: int
     state: RecordBody
@@ -73,32 +77,32 @@
 
     Attributes:
         state: The folded state.
-        log_failures: Reads and appends that failed, since the start.
+        log_failures: Number of reads and appends that have failed.
     """
 
     def __init__(self, log: LogService, stream: str, state: StateT) -> None:
-        """Prepares the fold; `run` reads, `open_stream_fold` owns it."""
+        """Initializes the fold; `run` reads and `run_writer` appends."""
         self.state = state
         self.log_failures = 0
         self._log = log
         self._stream = stream
         self._position = 0
         self._read_to_end_at = float("-inf")
-        # Records read past a gap, kept until a snapshot bridges it.
+        # Records read after a gap, kept until a snapshot covers the gap.
         self._gap: list[Record] | None = None
         self._gap_start = 0
         self._applied_position = 0
-        self._whole = False
+        self._complete = False
         self._at_end = False
         self._recent: deque[Record] = deque(maxlen=const.RECENT_RECORDS)
         self._ids: OrderedDict[str, FoldedId] = OrderedDict()
-        self._waiting: dict[str, Pending] = {}
+        self._pending: dict[str, Pending] = {}
         self._outbox = Outbox(log, stream)
         self._changed = trio.Event()
         self._failing_since = float("inf")
-        self._steady_since = float("inf")
+        self._reads_answered_since = float("inf")
         self._snapshot_at = 0
-        self._snapshots_seen = 0
+        self._snapshots_read = 0
 
     @property
     def stream(self) -> str:
@@ -112,86 +116,88 @@
 
     @property
     def ready(self) -> bool:
-        """True once the state holds all up to `position`."""
-        return self._gap is None and self._whole
+        """True once the state includes all records below `position`."""
+        return self._gap is None and self._complete
 
     @property
     def read_to_end_at(self) -> float:
-        """When the read was sent that last reached the stream's end."""
+        """When the latest read that reached the stream's end was sent."""
         return self._read_to_end_at
 
     @property
     def log_away(self) -> bool:
-        """True once every operation on the log has failed for a while."""
+        """True once all log operations fail for `LOG_UNAVAILABLE_AFTER` s."""
         failed_for = trio.current_time() - self._failing_since
-        return failed_for >= const.AWAY_AFTER
+        return failed_for >= const.LOG_UNAVAILABLE_AFTER
 
     @property
-    def steady_since(self) -> float:
-        """Since when every read has been answered; infinite if not."""
-        return self._steady_since
+    def reads_answered_since(self) -> float:
+        """Since when every read was answered; infinite if the last was not."""
+        return self._reads_answered_since
 
     @property
-    def since_snapshot(self) -> int:
-        """Offsets folded since the newest snapshot that was read."""
+    def offsets_since_snapshot(self) -> int:
+        """Number of offsets read since the newest snapshot."""
         return self._position - self._snapshot_at
 
     @property
-    def snapshots_seen(self) -> int:
-        """How many snapshot records were read."""
-        return self._snapshots_seen
+    def snapshots_read(self) -> int:
+        """Number of snapshot records that were read."""
+        return self._snapshots_read
 
     async def run(self) -> None:
-        """Reads the stream for ever."""
-        backoff = const.READ_BACKOFF_FIRST
+        """Reads the stream until it is cancelled."""
+        backoff = const.INITIAL_READ_BACKOFF
         while True:
-            # What isn't there can't be waited for.
-            answers = self._failing_since == float("inf")
-            wait = const.LONG_POLL if self._at_end and answers else 0.0
+            # Long polls only make sense while the log answers.
+            log_answers = self._failing_since == float("inf")
+            wait = const.LONG_POLL_WAIT if self._at_end and log_answers else 0.0
             try:
                 read = await first_answer(
                     partial(self._read, self._position),
                     wait,
-                    const.READ_PATIENCE,
-                    AGAIN_AFTER,
+                    const.READ_TIMEOUT_MARGIN,
+                    HEDGE_DELAY,
                 )
             except StoreUnavailableError:
                 self._note_failure()
-                self._steady_since = float("inf")
+                self._reads_answered_since = float("inf")
                 await trio.sleep(backoff)
-                backoff = min(backoff * 2, const.READ_BACKOFF_MOST)
+                backoff = min(backoff * 2, const.MAX_READ_BACKOFF)
                 continue
-            backoff = const.READ_BACKOFF_FIRST
+            backoff = const.INITIAL_READ_BACKOFF
             self._failing_since = float("inf")
-            self._steady_since = min(self._steady_since, trio.current_time())
-            self._take_page(read.value, read.asked_at)
+            self._reads_answered_since = min(
+                self._reads_answered_since, trio.current_time()
+            )
+            self._apply_page(read.value, read.asked_at)
 
-    async def _read(self, start: int, question: Question) -> ReadPage:
+    async def _read(self, start: int, attempt: RequestAttempt) -> ReadPage:
         try:
-            with trio.fail_after(question.timeout):
-                return await self._log.read(self._stream, start, question.wait)
+            with trio.fail_after(attempt.timeout):
+                return await self._log.read(self._stream, start, attempt.wait)
         except LogUnavailableError as error:
             raise StoreUnavailableError(str(error), sent=error.sent) from error
         except trio.TooSlowError as error:
             raise StoreUnavailableError("no answer", sent=True) from error
 
     async def run_writer(self) -> None:
-        """Appends what `publish` queues, many records in one append."""
-        backoff = const.APPEND_BACKOFF_FIRST
+        """Appends queued records in batches until it is cancelled."""
+        backoff = const.INITIAL_APPEND_BACKOFF
         while True:
             try:
                 await self._outbox.append_next()
             except LogUnavailableError:
                 self._note_failure()
                 await trio.sleep(backoff)
-                backoff = min(backoff * 2, const.APPEND_BACKOFF_MOST)
+                backoff = min(backoff * 2, const.MAX_APPEND_BACKOFF)
                 continue
-            backoff = const.APPEND_BACKOFF_FIRST
+            backoff = const.INITIAL_APPEND_BACKOFF
             self._failing_since = float("inf")
 
     @staticmethod
     def new_body(body: RecordBody) -> RecordBody:
-        """Gives a record its id, so that it can be published repeatedly."""
+        """Adds an id to a body, so that it can be published repeatedly."""
         return {"id": uuid.uuid4().hex, **body}
 
     async def publish(
@@ -205,13 +211,16 @@
         """Appends one record and waits until it is read back.
 
         An append whose reply was lost is repeated with the same id, which
-        every reader folds once; so the verdict never rests on a guess.
+        every reader folds only once, so the verdict is always based on the
+        log itself.
 
         Args:
-            body: The record's kind and fields; its id is added here.
-            timeout: Seconds until the caller wants an answer anyway.
-            fail_fast: Refuse at once, unsent, while the log is away.
-            urgent: Append at once; else it may gather with others first.
+            body: The record's kind and fields; an id is added if it has none.
+            timeout: Seconds after which a verdict is returned even if the
+                record was not read back.
+            fail_fast: Whether to give up at once, without sending the record,
+                while the log is unavailable.
+            urgent: Whether to append at once instead of batching.
         """
         if fail_fast and self.log_away:
             return Verdict(Outcome.NOT_SENT, reason="log service away")
@@ -221,20 +230,20 @@
         if record_id in self._ids:
             return self._ids[record_id].verdict()
         pending = Pending(body, urgent=urgent)
-        self._waiting[record_id] = pending
+        self._pending[record_id] = pending
         self._outbox.put(pending)
         try:
             with trio.move_on_after(timeout):
                 await pending.done.wait()
         finally:
-            self._waiting.pop(record_id, None)
-            pending.settle_unanswered()
+            self._pending.pop(record_id, None)
+            pending.settle_unconfirmed()
         assert pending.verdict is not None
         return pending.verdict
 
     def publish_later(self, body: RecordBody) -> None:
-        """Queues a record that nobody waits for; it is sent until it is in."""
-        self._outbox.put_dropping(Pending(self.new_body(body), urgent=False))
+        """Queues a record without waiting; its append is retried."""
+        self._outbox.put_bounded(Pending(self.new_body(body), urgent=False))
 
     async def wait_position(self, offset: int) -> None:
         """Waits until everything below `offset` is folded."""
@@ -242,17 +251,17 @@
             await self._changed.wait()
 
     async def wait_change(self) -> None:
-        """Waits until another record is folded."""
+        """Waits until the fold may have changed."""
         await self._changed.wait()
 
     def dump(self) -> FoldDump:
-        """Returns the whole fold for a peer or a snapshot."""
+        """Returns the complete fold for a peer or a snapshot."""
         return FoldDump(
             self._position, self.state.dump(), list(self._ids.values())
         )
 
     def load(self, dump: FoldDump) -> bool:
-        """Takes over a peer's fold if it is further on than this one."""
+        """Loads a peer's fold; returns False if it is not ahead of this one."""
         if dump.position <= self._applied_position:
             return False
         self.state.load(dump.state)
@@ -261,13 +270,13 @@
         self._snapshot_at = dump.position
         self._applied_position = dump.position
         self._gap = None
-        # A peer's fold is whole, though how fresh it is stays unknown.
-        self._whole = True
-        self._announce()
+        # A peer's fold is complete, though possibly out of date.
+        self._complete = True
+        self._notify_changed()
         return True
 
     def recent_since(self, offset: int) -> list[Record] | None:
-        """Returns the records from `offset` on, or None if not all kept."""
+        """Returns records from `offset` on, or None if some were dropped."""
         if offset >= self._position:
             return []
         if not self._recent or self._recent[0].offset > offset:
@@ -275,18 +284,19 @@
         return [r for r in self._recent if r.offset >= offset]
 
     def feed(self, records: Iterable[Record]) -> None:
-        """Folds records that a peer read, as far as they connect."""
+        """Folds those records read by a peer that follow without a gap."""
         if self._gap is None:
             for record in records:
                 if record.offset == self._position:
                     self._fold(record)
-        self._announce()
+        self._notify_changed()
 
     async def append_snapshot(self) -> None:
-        """Appends a snapshot of the state as of now.
+        """Appends a snapshot of the current state.
 
         Raises:
-            LogUnavailableError: It is unknown whether it was appended.
+            LogUnavailableError: The snapshot may or may not have been
+                appended.
         """
         dump = self.dump()
         body = {
@@ -302,7 +312,7 @@
         self._failing_since = min(self._failing_since, trio.current_time())
         self.log_failures += 1
 
-    def _take_page(self, page: ReadPage, sent_at: float) -> None:
+    def _apply_page(self, page: ReadPage, sent_at: float) -> None:
         if page.first_kept > self._position:
             self._gap = []
             self._gap_start = page.first_kept
@@ -313,14 +323,14 @@
         self._at_end = self._position >= page.end
         if self._at_end and self._gap is None:
             self._read_to_end_at = max(self._read_to_end_at, sent_at)
-            self._whole = True
-        self._announce()
+            self._complete = True
+        self._notify_changed()
 
     def _fold(self, record: Record) -> None:
         self._position = record.offset + 1
         self._recent.append(record)
         if record.body.get("kind") == SNAPSHOT_KIND:
-            self._take_snapshot(record)
+            self._apply_snapshot(record)
         elif self._gap is not None:
             self._gap.append(record)
         else:
@@ -335,19 +345,19 @@
             reason = self.state.apply(record.offset, record.body)
             folded = FoldedId(record_id, record.offset, reason)
             self._ids[record_id] = folded
-            self._forget_ids(record.offset)
-        pending = self._waiting.get(record_id)
+            self._drop_old_ids(record.offset)
+        pending = self._pending.get(record_id)
         if pending is not None:
             pending.settle(folded.verdict())
 
-    def _forget_ids(self, newest: int) -> None:
+    def _drop_old_ids(self, newest: int) -> None:
         oldest = newest - const.DEDUPLICATION_WINDOW
         while next(iter(self._ids.values())).offset < oldest:
             self._ids.popitem(last=False)
 
-    def _take_snapshot(self, record: Record) -> None:
+    def _apply_snapshot(self, record: Record) -> None:
         self._snapshot_at = record.offset
-        self._snapshots_seen += 1
+        self._snapshots_read += 1
         position = int(record.body["position"])
         if self._gap is None:
             return
@@ -356,11 +366,11 @@
         self.state.load(record.body["state"])
         ids = [FoldedId(*item) for item in record.body["ids"]]
         self._ids = OrderedDict((i.record_id, i) for i in ids)
-        replay = [r for r in self._gap if r.offset >= position]
+        to_apply = [r for r in self._gap if r.offset >= position]
         self._gap = None
-        for kept in replay:
+        for kept in to_apply:
             self._apply(kept)
 
-    def _announce(self) -> None:
+    def _notify_changed(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
--- a/pimentocross/contracts/jitter.py
+++ b/pimentocross/contracts/jitter.py
@@ -1,19 +1,19 @@
-"""Pauses that differ, so that processes don't act in step."""
+"""Random jitter for pauses, so that processes don't act simultaneously."""
 
 import random
 from typing import Final
 
-# Of a pause, the share that may be left out.
-_SHARE: Final = 0.3
+# Largest share of a pause that is subtracted at random.
+_MAX_REDUCTION: Final = 0.3
 
 
 def jittered(pause: float) -> float:
-    """Returns a pause that is shorter than another by a random part of it.
+    """Returns the pause, shortened by a random share of it.
 
-    An outage brings all VMs into step; a store that comes back would then be
-    asked by all of them at the same moment, again and again.
+    An outage synchronizes all VMs. Without jitter they would all query a
+    store that has recovered at the same moment, again and again.
 
     Args:
-        pause: Seconds, the longest that is returned.
+        pause: The longest pause to return, in seconds.
     """
-    return pause * random.uniform(1.0 - _SHARE, 1.0)
+    return pause * random.uniform(1.0 - _MAX_REDUCTION, 1.0)
--- a/pimentocross/contracts/outbox.py
+++ b/pimentocross/contracts/outbox.py
@@ -1,4 +1,4 @@
-"""Records on their way into a stream of the log, in order."""
+"""A queue of records to append to a stream of the log, in order."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -17,7 +17,7 @@
 
 
 class Outcome(StrEnum):
-    """How publishing a record ended."""
+    """The result of publishing a record."""
 
     ACCEPTED = "accepted"
     REJECTED = "rejected"
@@ -26,12 +26,13 @@
 
 
 class Verdict(NamedTuple):
-    """What became of a published record.
+    """The outcome of publishing a record, with its offset or the reason.
 
     Attributes:
-        outcome: Whether it was folded, refused, never sent or is unknown.
-        offset: Where it was read back, or -1.
-        reason: Why it was not accepted, or "".
+        outcome: Whether the record was folded, was rejected, was never sent,
+            or may or may not be in the log.
+        offset: The offset at which the record was read back, or -1.
+        reason: Why the record was not accepted, or "".
     """
 
     outcome: Outcome
@@ -40,23 +41,23 @@
 
     @property
     def accepted(self) -> bool:
-        """True if every reader folds the record."""
+        """True if the record was accepted, as every reader folds it alike."""
         return self.outcome is Outcome.ACCEPTED
 
 
 class Pending:
-    """A record on its way into the log.
+    """A record that is to be appended and has no verdict yet.
 
     Attributes:
-        body: The record.
-        urgent: Whether it is appended at once, or may gather with others.
+        body: The body of the record.
+        urgent: Whether it is appended at once instead of being batched.
         maybe_sent: Whether an append of it may have taken effect.
-        verdict: What became of it, once that is settled.
-        done: Set once it is settled.
+        verdict: The verdict, or None until there is one.
+        done: Set once there is a verdict.
     """
 
     def __init__(self, body: RecordBody, *, urgent: bool) -> None:
-        """Takes the record, unsent."""
+        """Initializes an unsent record."""
         self.body = body
         self.urgent = urgent
         self.maybe_sent = False
@@ -64,13 +65,13 @@
         self.done = trio.Event()
 
     def settle(self, verdict: Verdict) -> None:
-        """Sets the verdict, once."""
+        """Sets the verdict, unless there is one already."""
         if self.verdict is None:
             self.verdict = verdict
             self.done.set()
 
-    def settle_unanswered(self) -> None:
-        """Sets the verdict of a record that was not read back."""
+    def settle_unconfirmed(self) -> None:
+        """Sets the verdict of a record that was not read back in time."""
         if self.maybe_sent:
             self.settle(
                 Verdict(Outcome.UNKNOWN, reason="not read back in time")
@@ -80,10 +81,10 @@
 
 
 class Outbox:
-    """Appends records in the order in which they were put in."""
+    """Appends records in the order in which they were queued."""
 
     def __init__(self, log: LogService, stream: str) -> None:
-        """Takes where to append."""
+        """Initializes an empty outbox for a stream of the log."""
         self._log = log
         self._stream = stream
         self._waiting: deque[Pending] = deque()
@@ -95,18 +96,21 @@
         self._waiting.append(pending)
         self._filled.set()
 
-    def put_dropping(self, pending: Pending) -> None:
-        """Queues a record that nobody waits for; too many push out old ones."""
+    def put_bounded(self, pending: Pending) -> None:
+        """Queues a record that nobody waits for.
+
+        Beyond `MAX_OUTBOX_RECORDS`, the oldest records are dropped.
+        """
         self._waiting.append(pending)
-        while len(self._waiting) > const.OUTBOX_MOST:
+        while len(self._waiting) > const.MAX_OUTBOX_RECORDS:
             self._waiting.popleft().settle(Verdict(Outcome.NOT_SENT))
         self._filled.set()
 
     async def append_next(self) -> None:
-        """Appends the next records in one operation, once there are some.
+        """Waits for records to append and appends a batch in one operation.
 
         Raises:
-            LogUnavailableError: They stay queued.
+            LogUnavailableError: The append failed; its records stay queued.
         """
         await self._append(await self._next_batch())
 
@@ -117,9 +121,9 @@
             linger_until = self._appended_at + const.LINGER
             lingering = trio.current_time() < linger_until
             if unsettled and not lingering:
-                return unsettled[: const.APPEND_BATCH_MOST]
+                return unsettled[: const.MAX_APPEND_BATCH]
             if any(pending.urgent for pending in unsettled):
-                return unsettled[: const.APPEND_BATCH_MOST]
+                return unsettled[: const.MAX_APPEND_BATCH]
             self._filled = trio.Event()
             with trio.move_on_at(linger_until if unsettled else math.inf):
                 await self._filled.wait()
@@ -128,7 +132,8 @@
         self._appended_at = trio.current_time()
         sent_before = [pending.maybe_sent for pending in batch]
         for pending in batch:
-            # A verdict that is due meanwhile must not say "not sent".
+            # If the publisher's wait times out during the append, the verdict
+            # must not be "not sent".
             pending.maybe_sent = True
         try:
             await self._log.append(self._stream, [p.body for p in batch])
--- a/pimentocross/contracts/ownership.py
+++ b/pimentocross/contracts/ownership.py
@@ -1,8 +1,8 @@
-"""Sole ownership of named resources, claimed in the log and fenced.
+"""Exclusive ownership of named resources, claimed in the log and fenced.
 
-A claim is a record; its offset is the epoch and the fencing token. Every
-reader folds the same claims, so races are settled by the log's order. The
-rules that bound what an owner may do between reads are in `authority`.
+A claim is a record whose offset plus one is the epoch and the fencing token.
+Every reader folds the same claims, so the order of the log decides races. The
+rules on what an owner may do between reads are in `authority`.
 """
 
 from typing import NamedTuple
@@ -13,12 +13,12 @@
 from pimentocross.contracts.records import RecordKinds
 
 NO_EPOCH = 0
-# Removed processes remembered, so that none of them joins again.
-REMOVED_KEPT = 2_000
+# Removed processes that are remembered, so that none of them joins again.
+MAX_REMOVED_PROCESSES = 2_000
 
 
 class MemberJoined(NamedTuple):
-    """A process asks to be a member: one that may own resources."""
+    """A process asks to become a member, which may own resources."""
 
     process: str
     name: str
@@ -33,7 +33,7 @@
 
 
 class Claimed(NamedTuple):
-    """A member takes a resource over from the epoch that it saw last."""
+    """A member claims a resource whose latest known epoch is `base`."""
 
     resource: str
     process: str
@@ -41,7 +41,7 @@
 
 
 class Released(NamedTuple):
-    """An owner gives a resource up, after it has stopped acting on it."""
+    """An owner releases a resource, having stopped acting on it."""
 
     resource: str
     epoch: int
@@ -60,7 +60,7 @@
 
 
 class Member(NamedTuple):
-    """A member as folded; `offset` is where its joining was recorded."""
+    """A folded member; `offset` is that of its `MemberJoined` record."""
 
     process: str
     name: str
@@ -70,13 +70,13 @@
 
 
 class Ownership(NamedTuple):
-    """Who owns a resource.
+    """The owner of a resource.
 
     Attributes:
-        resource: Its name.
-        epoch: Offset of the claim plus one, so that 0 means never claimed.
-        process: The owner, or the last one if released.
-        released: True once the owner has given it up.
+        resource: The name of the resource.
+        epoch: Offset of the claim plus one; 0 means never claimed.
+        process: The owner, or the last owner if the resource was released.
+        released: True once the owner has released the resource.
     """
 
     resource: str
@@ -92,10 +92,10 @@
 
 
 class OwnershipState:
-    """Members and owners, folded from the ownership stream."""
+    """The members and owners, folded from the ownership stream."""
 
     def __init__(self) -> None:
-        """Starts without members and owners."""
+        """Initializes the state without members and owners."""
         self._members: dict[str, Member] = {}
         self._removed: dict[str, None] = {}
         self._ownerships: dict[str, Ownership] = {}
@@ -111,16 +111,16 @@
         return self._ownerships
 
     def is_removed(self, process: str) -> bool:
-        """True if the process was a member and may not be one again."""
+        """True if the process was removed and may not join again."""
         return process in self._removed
 
     def ownership(self, resource: str) -> Ownership:
-        """Returns who owns the resource, with epoch 0 for nobody ever."""
+        """Returns the ownership of a resource; epoch 0 if never claimed."""
         unowned = Ownership(resource, NO_EPOCH, "", True)
         return self._ownerships.get(resource, unowned)
 
     def apply(self, offset: int, body: RecordBody) -> str | None:
-        """Folds one record; returns why it is rejected, or None."""
+        """Folds one record; returns the reason if it is rejected, or None."""
         match KINDS.decode(body):
             case MemberJoined() as joined:
                 return self._apply_joined(offset, joined)
@@ -142,7 +142,7 @@
         }
 
     def load(self, dump: RecordBody) -> None:
-        """Replaces the state by a dumped one."""
+        """Replaces the state with a dumped one."""
         parts = [dump[name] for name in _Dump._fields]
         loaded = msgspec.convert(parts, _Dump)
         self._members = {m.process: m for m in loaded.members}
@@ -162,7 +162,7 @@
             return "process is not a member"
         del self._members[removed.process]
         self._removed[removed.process] = None
-        while len(self._removed) > REMOVED_KEPT:
+        while len(self._removed) > MAX_REMOVED_PROCESSES:
             del self._removed[next(iter(self._removed))]
         return None
 
--- a/pimentocross/contracts/poll_pace.py
+++ b/pimentocross/contracts/poll_pace.py
@@ -1,25 +1,25 @@
-"""How long a read that waits for news may wait."""
+"""How long a long-poll read may wait for new records."""
 
 from typing import Final
 
-# The first wait after news, as a share of the longest.
+# The first wait after new records, as a share of the longest wait.
 _FIRST_SHARE: Final = 1 / 8
 _GROWTH: Final = 2.0
 
 
 class PollPace:
-    """Waits that are short after news and grow while there is none.
+    """Long-poll waits, short after new records and growing without them.
 
-    Records come in series, as after an outage, and a store may not tell a read
-    of one that comes while the read is being taken in. Whoever waits for long
-    then has it late.
+    Records come in bursts, for example after an outage. A store may fail to
+    wake a waiting read for a record that arrives while it accepts the read; a
+    reader with a long wait then gets that record late.
     """
 
     def __init__(self, longest: float) -> None:
-        """Begins with a short wait.
+        """Initializes the pace with a short wait.
 
         Args:
-            longest: Seconds that a read may wait at most.
+            longest: The longest wait of a read, in seconds.
         """
         self._longest = longest
         self._first = longest * _FIRST_SHARE
@@ -27,16 +27,16 @@
 
     @property
     def wait(self) -> float:
-        """Seconds that the next read may wait."""
+        """Seconds for which the next read may wait."""
         return self._wait
 
     def note_answer(self, *, news: bool) -> None:
-        """Takes whether an answer brought news."""
+        """Adjusts the wait after an answer, with or without new records."""
         if news:
             self.restart()
         else:
             self._wait = min(self._wait * _GROWTH, self._longest)
 
     def restart(self) -> None:
-        """Begins with a short wait again."""
+        """Resets the wait to its initial length."""
         self._wait = self._first
--- a/pimentocross/contracts/records.py
+++ b/pimentocross/contracts/records.py
@@ -1,4 +1,4 @@
-"""Typed records, to and from the JSON bodies that the log carries."""
+"""Conversion of typed records to and from the JSON bodies in the log."""
 
 from collections.abc import Mapping
 from typing import Any, Generic, TypeVar
@@ -11,10 +11,10 @@
 
 
 class RecordKinds(Generic[RecordT]):
-    """The record types of one stream, each under its kind."""
+    """The record types of one stream, by their kinds."""
 
     def __init__(self, kinds: Mapping[str, type[RecordT]]) -> None:
-        """Registers the types; the names are part of the stored format."""
+        """Registers the types; the kinds are part of the stored format."""
         self._kinds = dict(kinds)
         self._names = {cls: kind for kind, cls in kinds.items()}
 
@@ -24,10 +24,11 @@
         return {"kind": self._names[type(record)], **fields}
 
     def decode(self, body: RecordBody) -> RecordT | None:
-        """Returns the typed record, or None for a body of another shape.
+        """Returns the typed record, or None if the body can't be converted.
 
-        A newer version may write kinds and fields that this one does not
-        know; unknown kinds are rejected, unknown fields are passed over.
+        A newer version of the software may write kinds and fields that this
+        one does not know. An unknown kind gives None; unknown fields are
+        ignored.
         """
         cls = self._kinds.get(str(body.get("kind")))
         if cls is None:
--- a/pimentocross/contracts/store.py
+++ b/pimentocross/contracts/store.py
@@ -1,7 +1,7 @@
-"""What the coordination parts need of a store of record logs.
+"""Interface to a store of record logs.
 
-A topic is a log of records at offsets, counted from 0. Topics here keep the
-newest record of each key for good; older records may go at any time.
+A topic is a log of records at offsets that start at 0. A topic keeps the
+newest record of each key forever; older records may expire at any time.
 """
 
 from collections.abc import Sequence
@@ -9,12 +9,12 @@
 
 
 class Record(NamedTuple):
-    """One record.
+    """A record of a topic.
 
     Attributes:
-        key: What it is about; a newer record of the key replaces it.
-        value: Its content, or None to remove the key.
-        offset: Where it stands, or -1 before it is appended.
+        key: The key; a newer record with the same key replaces this one.
+        value: The content, or None to remove the key.
+        offset: The offset in the topic, or -1 before the append.
     """
 
     key: str
@@ -23,7 +23,7 @@
 
 
 class Page(NamedTuple):
-    """What a read returns.
+    """The result of a read.
 
     Attributes:
         records: Records in the order of their offsets.
@@ -39,8 +39,9 @@
 
     Attributes:
         producer: Name that all successive writers share.
-        epoch: Of this writer; the store refuses lower ones from then on.
-        sequence: Counts the appends of this epoch, from 0.
+        epoch: The writer's epoch; from this append on, the store rejects
+            lower epochs of the producer.
+        sequence: Number of the append within the epoch, from 0.
     """
 
     producer: str
@@ -49,50 +50,50 @@
 
 
 class StoreUnavailableError(Exception):
-    """The store did not answer as asked.
+    """The store gave no usable answer.
 
     Attributes:
         sent: True if the operation may have taken effect, or still may.
     """
 
     def __init__(self, reason: str, *, sent: bool) -> None:
-        """Notes the reason and whether the operation may have happened."""
+        """Initializes the error with its reason and `sent`."""
         super().__init__(reason)
         self.sent = sent
 
 
 class ConditionFailedError(Exception):
-    """The log did not end where the append required.
+    """The topic did not end at the offset that the append required.
 
     Attributes:
-        end: Where it ended.
+        end: The offset after the last record of the topic.
     """
 
     def __init__(self, end: int) -> None:
-        """Notes where the log ended."""
+        """Initializes the error with the end of the topic."""
         super().__init__(f"the log ends at {end}")
         self.end = end
 
 
 class FencedError(Exception):
-    """A writer of a higher epoch has taken over."""
+    """A writer with a higher epoch has taken over."""
 
 
 class SequenceGapError(Exception):
     """The append's sequence number is not the next one.
 
     Attributes:
-        expected: The number that the store expects.
+        expected: The sequence number that the store expects.
     """
 
     def __init__(self, expected: int) -> None:
-        """Notes what the store expects."""
+        """Initializes the error with the expected sequence number."""
         super().__init__(f"sequence {expected} is expected")
         self.expected = expected
 
 
-class HistoryGoneError(Exception):
-    """The records that were asked for have expired."""
+class HistoryExpiredError(Exception):
+    """The requested records have expired."""
 
 
 class Store(Protocol):
@@ -106,26 +107,29 @@
         *,
         at: int | None = None,
         mark: ProducerMark | None = None,
-        fresh: bool = False,
+        new_connection: bool = False,
     ) -> int:
         """Appends records, all or none.
 
         Args:
-            topic: The log.
-            records: What to append; none only sets the mark's epoch.
+            topic: Name of the topic.
+            records: Records to append; an empty list only registers the
+                epoch of `mark`.
             timeout: Seconds to wait for the answer.
-            at: Append only if the log ends at this offset.
-            mark: Append at most once, and only as the newest writer.
-            fresh: See `read`.
+            at: Append only if the topic ends at this offset.
+            mark: Append at most once, and only if no writer has a higher
+                epoch.
+            new_connection: See `read`.
 
         Returns:
             The offset of the first record.
 
         Raises:
-            StoreUnavailableError: No usable answer.
-            ConditionFailedError: The log ends elsewhere than at `at`.
-            FencedError: A higher epoch was seen.
-            SequenceGapError: The mark's number is not the next one.
+            StoreUnavailableError: The store gave no usable answer.
+            ConditionFailedError: The topic does not end at `at`.
+            FencedError: The store has seen a higher epoch.
+            SequenceGapError: The sequence number of `mark` is not the next
+                one.
         """
         ...
 
@@ -136,33 +140,34 @@
         wait: float,
         timeout: float,
         *,
-        fresh: bool = False,
+        new_connection: bool = False,
     ) -> Page:
         """Reads from `start` on, waiting up to `wait` s for a record.
 
         Args:
-            topic: The log.
-            start: The first offset.
-            wait: Seconds to wait for a record.
+            topic: Name of the topic.
+            start: The first offset to read.
+            wait: Seconds for which the store waits for a record.
             timeout: Seconds to wait for the answer.
-            fresh: Trust no connection that was used before: an answer on one is
-                overdue, and they may all have gone silent.
+            new_connection: Whether to use no connection that was used before,
+                because an answer on one is overdue and all of them may be
+                dead.
 
         Raises:
-            StoreUnavailableError: No usable answer.
-            HistoryGoneError: Records from `start` on have expired.
+            StoreUnavailableError: The store gave no usable answer.
+            HistoryExpiredError: Records from `start` on have expired.
         """
         ...
 
     async def newest(
-        self, topic: str, timeout: float, *, fresh: bool = False
+        self, topic: str, timeout: float, *, new_connection: bool = False
     ) -> Page:
         """Returns the newest record of each key.
 
-        The records are at least as new as the returned end; newer ones may
-        be among them, so that reading on from the end may repeat some.
+        All records below the returned end are taken into account. Newer ones
+        may be included as well, so a read from the end on may repeat some.
 
         Raises:
-            StoreUnavailableError: No usable answer.
+            StoreUnavailableError: The store gave no usable answer.
         """
         ...
--- a/pimentocross/contracts/switches.py
+++ b/pimentocross/contracts/switches.py
@@ -1,7 +1,7 @@
-"""Which parts an operator has switched off.
+"""Optional features, called parts, that an operator can switch off.
 
-Each part takes effect only where configuration, submissions or what is seen
-call for it; switched off, it doesn't take effect there either.
+Each part takes effect only where the configuration, a submitted job or
+measurements call for it; a part that is switched off never takes effect.
 """
 
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class Part(StrEnum):
-    """A part that can be switched off."""
+    """An optional feature that can be switched off."""
 
     INTAKE = "intake"
     ADMISSION = "admission"
@@ -19,16 +19,16 @@
 
 
 class UnknownPartError(Exception):
-    """A name that is no part's."""
+    """A name is not that of a part."""
 
 
 class Switches(NamedTuple):
-    """Which parts are switched off."""
+    """The set of parts that are switched off."""
 
     off: frozenset[Part] = frozenset()
 
     def is_on(self, part: Part) -> bool:
-        """True unless a part is switched off."""
+        """True unless the part is switched off."""
         return part not in self.off
 
 
@@ -36,10 +36,10 @@
 
 
 def read_switches(text: str) -> Switches:
-    """Reads names of parts that are off, separated by commas.
+    """Parses the comma-separated names of parts that are switched off.
 
     Raises:
-        UnknownPartError: A name is no part's.
+        UnknownPartError: A name is not that of a part.
     """
     names = [name.strip() for name in text.split(",") if name.strip()]
     known = {part.value for part in Part}
--- a/pimentocross/contracts/topic_reader.py
+++ b/pimentocross/contracts/topic_reader.py
@@ -1,18 +1,22 @@
-"""Reads a topic of the store on, and anew when its history has expired."""
+"""Reads a topic of the store incrementally.
+
+When the next records have expired, the reader starts over with the newest
+record of each key.
+"""
 
 from functools import partial
 from typing import NamedTuple
 
 import trio
 
-from pimentocross.contracts.asking import (
-    AGAIN_AFTER,
-    Answered,
-    Question,
+from pimentocross.contracts.hedging import (
+    HEDGE_DELAY,
+    FirstAnswer,
+    RequestAttempt,
     first_answer,
 )
 from pimentocross.contracts.store import (
-    HistoryGoneError,
+    HistoryExpiredError,
     Page,
     Record,
     Store,
@@ -20,53 +24,56 @@
 from pimentocross.observe.decisions import note
 
 
-class TopicNews(NamedTuple):
-    """What was read.
+class TopicUpdate(NamedTuple):
+    """The result of one read of a topic.
 
     Attributes:
-        records: What is new, in order.
-        known_at: Until when nothing newer was there, monotonic; -inf if there
-            is more to read.
-        whole: Whether this is the newest of each key, and all that there is.
-        asked_at: When the question that was answered was sent, monotonic.
+        records: The new records, in order.
+        known_at: Monotonic time at which the topic surely held no newer
+            records; -inf if there is more to read.
+        is_snapshot: Whether `records` are the newest of each key, so that
+            keys without a record are removed.
+        asked_at: Monotonic time at which the answered attempt was sent.
     """
 
     records: list[Record]
     known_at: float
-    whole: bool
+    is_snapshot: bool
     asked_at: float
 
 
 class TopicReader:
-    """Reads a topic on from where it was read last."""
+    """Reads a topic, each time from where the last read ended."""
 
     def __init__(self, store: Store, topic: str) -> None:
-        """Begins with the newest record of each key."""
+        """Initializes the reader; its first read gives a snapshot."""
         self._store = store
         self._topic = topic
         self._end: int | None = None
 
     @property
     def end(self) -> int | None:
-        """Offset up to which the topic was read; None if it is read anew."""
+        """Offset after the last one read; None before a snapshot is read."""
         return self._end
 
     async def read(
         self,
         wait: float,
         timeout: float,
-        again_after: float = AGAIN_AFTER,
+        hedge_delay: float = HEDGE_DELAY,
         urgent: trio.Event | None = None,
-    ) -> TopicNews:
-        """Returns what is new, waiting for it for a while.
+    ) -> TopicUpdate:
+        """Returns new records, waiting up to `wait` seconds for some.
 
-        Reads may overlap: each begins where the topic was read to by then.
+        Reads may overlap. Each starts at the offset that had been reached when
+        it was called.
 
         Args:
-            wait: Seconds to wait for news.
+            wait: Seconds to wait for new records.
             timeout: Seconds beyond `wait` to wait for an answer.
-            again_after: Seconds after which the store is asked once more.
-            urgent: Once set, what is new is asked for at once.
+            hedge_delay: Seconds after which the request is repeated.
+            urgent: Once set, the request is repeated at once, without waiting
+                for new records.
 
         Raises:
             StoreUnavailableError: The store did not answer.
@@ -74,29 +81,31 @@
         start = self._end
         if start is not None:
             read = await first_answer(
-                partial(self._ask, start),
+                partial(self._request, start),
                 wait,
                 timeout,
-                again_after,
+                hedge_delay,
                 urgent,
             )
             if read.value is not None:
                 self._advance(start + len(read.value.records))
-                return self._page_news(read, read.value, start)
+                return self._page_update(read, read.value, start)
             note("history_gone", topic=self._topic, position=start)
             self._end = None
-        found = await first_answer(self._ask_newest, 0.0, timeout, again_after)
+        found = await first_answer(
+            self._request_newest, 0.0, timeout, hedge_delay
+        )
         self._advance(found.value.end)
-        return TopicNews(
+        return TopicUpdate(
             found.value.records,
             known_at=found.asked_at,
-            whole=True,
+            is_snapshot=True,
             asked_at=found.asked_at,
         )
 
-    def _page_news(
-        self, read: Answered[Page | None], page: Page, start: int
-    ) -> TopicNews:
+    def _page_update(
+        self, read: FirstAnswer[Page | None], page: Page, start: int
+    ) -> TopicUpdate:
         if page.end > start and not page.records:
             note(
                 "records_withheld",
@@ -104,37 +113,40 @@
                 position=start,
                 end=page.end,
             )
-        return TopicNews(
+        return TopicUpdate(
             page.records,
             known_at=_known_at(read, page, start),
-            whole=False,
+            is_snapshot=False,
             asked_at=read.asked_at,
         )
 
     def _advance(self, end: int) -> None:
-        """Notes how far was read; a read that overlapped may be further."""
+        """Advances the end, unless an overlapping read has read further."""
         self._end = end if self._end is None else max(self._end, end)
 
-    async def _ask(self, start: int, question: Question) -> Page | None:
-        """Returns what follows an offset, or None if it has expired."""
-        wait, timeout, again = question
+    async def _request(
+        self, start: int, attempt: RequestAttempt
+    ) -> Page | None:
+        """Returns the records from `start` on, or None if they expired."""
+        wait, timeout, is_hedge = attempt
         try:
             return await self._store.read(
-                self._topic, start, wait, timeout, fresh=again
+                self._topic, start, wait, timeout, new_connection=is_hedge
             )
-        except HistoryGoneError:
+        except HistoryExpiredError:
             return None
 
-    async def _ask_newest(self, question: Question) -> Page:
+    async def _request_newest(self, attempt: RequestAttempt) -> Page:
         return await self._store.newest(
-            self._topic, question.timeout, fresh=question.again
+            self._topic, attempt.timeout, new_connection=attempt.is_hedge
         )
 
 
-def _known_at(read: Answered[Page | None], page: Page, start: int) -> float:
-    """Returns until when a page told all that there was, at the least."""
+def _known_at(read: FirstAnswer[Page | None], page: Page, start: int) -> float:
+    """Returns the latest time at which the page was surely complete."""
     if page.end > start + len(page.records):
         return float("-inf")
-    # With no record the store answers once it has waited for one.
+    # An empty page that comes after the full wait shows that there were no new
+    # records until then.
     waited = trio.current_time() - read.asked_at >= read.wait
     return read.asked_at + (read.wait if waited and not page.records else 0.0)
--- a/pimentocross/contracts/worker_link.py
+++ b/pimentocross/contracts/worker_link.py
@@ -1,7 +1,7 @@
-"""What an owner of jobs needs of a worker.
+"""Interface between the owner of jobs and a worker.
 
 Every call carries the owner's fencing token. Times named `deadline` and
-`clock` are seconds on the worker's own steady clock.
+`clock` are in seconds on the worker's own monotonic clock.
 """
 
 from enum import StrEnum
@@ -11,20 +11,20 @@
 
 
 class WorkerLife(NamedTuple):
-    """One life of a machine, as listed in the directory.
+    """One worker life: a worker from its start to its end, as listed.
 
     Attributes:
-        id: Names the worker; the next life may have the same.
-        machine: The machine, which outlives it.
-        service: Service whose queues it runs.
-        address: host:port.
-        zone: Its availability zone.
-        labels: What steps may require; its kind and its rack.
-        capacity: What it carries.
-        draining: Whether it is about to leave.
-        remaining: Seconds that are left at least while it drains.
-        born: When it started, milliseconds since 1970, or 0 if that isn't
-            told. Tells lives of one id apart.
+        id: The worker's id; the next life may have the same one.
+        machine: The VM on which the worker runs and which outlives this life.
+        service: The service whose queues the worker runs.
+        address: The worker's address as host:port.
+        zone: The worker's availability zone.
+        labels: Labels that steps may require: the worker's kind and its rack.
+        capacity: The resources that the worker offers.
+        draining: Whether the worker is about to leave.
+        remaining: Minimum seconds until a draining worker leaves.
+        born: When this life started, in milliseconds since 1970, or 0 if not
+            known. Distinguishes lives with the same id.
     """
 
     id: str
@@ -39,23 +39,23 @@
     born: int = 0
 
     def is_after(self, born: int) -> bool:
-        """True if this life surely followed one of its id born then."""
+        """True if this life is known to be later than one born at `born`."""
         return 0 < born < self.born
 
     @property
     def rack(self) -> str:
-        """Its rack, the last of its labels."""
+        """The worker's rack, which is the last label."""
         return self.labels[-1] if self.labels else ""
 
 
 class WorkerDirectory(Protocol):
-    """Lists the workers that live."""
+    """Lists the workers that are alive."""
 
     async def poll(self, timeout: float) -> list[WorkerLife]:
-        """Returns all that are listed now.
+        """Returns all workers that are listed now.
 
         Raises:
-            StoreUnavailableError: The list can't be had.
+            StoreUnavailableError: The list is not available.
         """
         ...
 
@@ -71,17 +71,18 @@
     GANG_ALONE = "gang alone"
 
 
-class Listed(NamedTuple):
-    """A run on a worker.
+class ListedRun(NamedTuple):
+    """A run as listed by its worker.
 
     Attributes:
         task: The task.
-        run: The run's number.
-        checkpoint: Newest saved progress, or "".
-        percent: Progress; a lasting task that is at work has 100.
-        figure: Of a serving task the tail of its response times in
-            milliseconds, else thousandths of a core in use; over half a
-            second, roughly.
+        run: The number of the run.
+        checkpoint: The newest saved progress, or "".
+        percent: Progress in percent; 100 for a lasting task that has started
+            its work.
+        figure: For a serving task, its tail latency in milliseconds; for
+            others, their CPU use in millicores. Both cover about the last
+            half second.
     """
 
     task: TaskName
@@ -92,7 +93,7 @@
 
 
 class Ending(NamedTuple):
-    """A run that ended; `number` counts the endings of a worker's life."""
+    """A run that ended; `number` counts the endings of a worker life."""
 
     number: int
     task: TaskName
@@ -102,23 +103,24 @@
 
 
 class HoldReply(NamedTuple):
-    """What a worker lists.
+    """A worker's reply to `hold`.
 
     Attributes:
-        clock: Its clock.
-        running: All that runs.
-        endings: Those that were not yet taken note of, maybe not all.
-        born: When the life that answers started, as in `WorkerLife`.
+        clock: The worker's clock.
+        running: All runs on the worker.
+        endings: Endings that the owner has not acknowledged yet, perhaps not
+            all of them.
+        born: When the answering worker life started, as in `WorkerLife`.
     """
 
     clock: float
-    running: list[Listed]
+    running: list[ListedRun]
     endings: list[Ending]
     born: int = 0
 
 
 class StartOrder(NamedTuple):
-    """Asks a worker to start a run; `ticket` is the adviser's, or ""."""
+    """Asks a worker to start a run; `ticket` is from the adviser, or ""."""
 
     task: TaskName
     run: int
@@ -130,7 +132,7 @@
 
 
 class StartVerdict(StrEnum):
-    """What a worker said to a start. Only `STARTED` means that it runs."""
+    """A worker's answer to a start; only `STARTED` means that the run runs."""
 
     STARTED = "started"
     SUPERSEDED = "superseded"
@@ -142,7 +144,7 @@
 
 
 class StartReply(NamedTuple):
-    """Verdict on a start, and the worker's clock if it was told."""
+    """Verdict on a start, and the worker's clock if it was in the reply."""
 
     verdict: StartVerdict
     clock: float | None
@@ -152,11 +154,11 @@
     """A worker did not answer.
 
     Attributes:
-        sent: Whether the order may have been carried out, or may yet.
+        sent: Whether the order may have been carried out, or still may be.
     """
 
     def __init__(self, reason: str, *, sent: bool = True) -> None:
-        """Notes the reason and whether the order may have left."""
+        """Initializes the error with its reason and `sent`."""
         super().__init__(reason)
         self.sent = sent
 
@@ -166,11 +168,15 @@
 
 
 class WorkerReplacedError(Exception):
-    """Another life answers at the address: the one meant is gone."""
+    """Another life answers at the address, so the addressed life is over."""
 
 
 class WorkerLink(Protocol):
-    """Orders to one worker. Each call may raise all three errors above."""
+    """Sends orders to one worker life.
+
+    Each call may raise `WorkerUnreachableError`, `WorkerFencedError` and
+    `WorkerReplacedError`.
+    """
 
     async def hold(
         self,
@@ -180,31 +186,31 @@
         wait: float,
         timeout: float,
     ) -> HoldReply:
-        """Lists runs and endings, and extends the lease of all that runs.
+        """Lists runs and endings, and extends the lease of all runs.
 
         Args:
             token: The fencing token.
-            seen: Endings up to this number are forgotten.
-            deadline: End of the lease, or None to leave it.
-            wait: Seconds to wait for an ending.
+            seen: Number up to which the worker may discard endings.
+            deadline: End of the lease, or None to leave it unchanged.
+            wait: Seconds for which the worker waits for an ending.
             timeout: Seconds to wait for the answer.
         """
         ...
 
     async def start(self, order: StartOrder, timeout: float) -> StartReply:
-        """Starts a run, or confirms one that is there."""
+        """Starts a run, or confirms one that is running already."""
         ...
 
     async def stop(
         self, task: TaskName, run: int, token: int, timeout: float
     ) -> None:
-        """Stops a run; one that is not there yet will be refused."""
+        """Stops a run; if it has not started yet, its start is rejected."""
         ...
 
     async def pace(
         self, task: TaskName, run: int, percent: int, token: int, timeout: float
     ) -> None:
-        """Lets a run work at a share of its speed."""
+        """Limits a run to `percent` of its full speed."""
         ...
 
     async def aclose(self) -> None:
@@ -213,8 +219,8 @@
 
 
 class WorkerDialer(Protocol):
-    """Makes links to workers."""
+    """Creates links to workers."""
 
     def link(self, life: WorkerLife) -> WorkerLink:
-        """Returns a link to one life of a worker."""
+        """Returns a link to a worker life."""
         ...
--- a/pimentocross/contracts/zones.py
+++ b/pimentocross/contracts/zones.py
@@ -1,18 +1,21 @@
-"""To which availability zones new runs may be sent."""
+"""Access to availability zones: to which of them new runs may be sent."""
 
 from typing import Protocol
 
 
 class ZoneAccess(Protocol):
-    """Knows which zones operators have evacuated."""
+    """Tells which zones operators have evacuated."""
 
     def is_open(self, zone: str) -> bool:
-        """True if new runs may surely be sent to a zone's workers now."""
+        """True if the zone is known to accept new runs now.
+
+        It is False if the zone is evacuated or its state is not known.
+        """
         ...
 
 
-class EveryZone:
-    """Access of a deployment whose zones are never evacuated."""
+class AllZonesOpen:
+    """Zone access for a deployment whose zones are never evacuated."""
 
     def is_open(self, zone: str) -> bool:
         """Returns True."""
--- a/pimentocross/entry/forwarder.py
+++ b/pimentocross/entry/forwarder.py
@@ -230,7 +230,7 @@
 
 def _hedge_delay(link: TargetLink, left: float) -> float:
     """Returns after how many seconds an answer is late."""
-    usual = link.limit.usual_latency
+    usual = link.limit.smoothed_latency
     most = left * _HEDGE_SHARE
     # Of a target that has never answered, nothing is usual yet.
     return (
--- a/pimentocross/entry/ownership.py
+++ b/pimentocross/entry/ownership.py
@@ -125,7 +125,7 @@
             self._epochs[cell] = (epoch, now)
         since = max(
             self._awake_since,
-            self._authority.fold.steady_since,
+            self._authority.fold.reads_answered_since,
             self._epochs[cell][1],
         )
         return now - since >= const.SUSPECT_AFTER
--- a/pimentocross/entry/snapshots.py
+++ b/pimentocross/entry/snapshots.py
@@ -26,15 +26,15 @@
         is_writer: Whether this process should write now.
     """
     renewed_at = trio.current_time()
-    seen = fold.snapshots_seen
+    seen = fold.snapshots_read
     while True:
         await trio.sleep(const.SNAPSHOT_CHECK)
-        if fold.snapshots_seen != seen:
-            seen = fold.snapshots_seen
+        if fold.snapshots_read != seen:
+            seen = fold.snapshots_read
             renewed_at = trio.current_time()
         age = trio.current_time() - renewed_at
         due = age >= retention * _RENEW_SHARE and fold.position > 0
-        due = due or fold.since_snapshot >= const.SNAPSHOT_RECORDS
+        due = due or fold.offsets_since_snapshot >= const.SNAPSHOT_RECORDS
         if due and fold.ready and is_writer():
             await _write(fold)
 
--- a/pimentocross/entry/targets.py
+++ b/pimentocross/entry/targets.py
@@ -125,7 +125,7 @@
         return [link for link in links if not link.ejected]
 
     def _cost(self, link: TargetLink) -> float:
-        usual = max(link.limit.usual_latency, _FAR_PENALTY)
+        usual = max(link.limit.smoothed_latency, _FAR_PENALTY)
         waiting = usual * (1 + link.load)
         return waiting + (0 if link.address in self._near else _FAR_PENALTY)
 
--- a/pimentocross/gateway/cluster.py
+++ b/pimentocross/gateway/cluster.py
@@ -7,9 +7,9 @@
 import msgspec
 import trio
 
-from pimentocross.contracts.asking import (
-    AGAIN_AFTER,
-    Question,
+from pimentocross.contracts.hedging import (
+    HEDGE_DELAY,
+    RequestAttempt,
     first_answer,
 )
 from pimentocross.contracts.jitter import jittered
@@ -181,7 +181,7 @@
         self.reachable = True
         for record in news.records:
             self._take(record)
-        if news.records or news.whole:
+        if news.records or news.is_snapshot:
             self.changed.set()
             self.changed = trio.Event()
         return bool(news.records)
@@ -215,13 +215,13 @@
             partial(self._try_append, record, at),
             0.0,
             const.CLAIM_TIMEOUT,
-            AGAIN_AFTER,
+            HEDGE_DELAY,
         )
         if answered.value is not None:
             raise answered.value
 
     async def _try_append(
-        self, record: Record, at: int, question: Question
+        self, record: Record, at: int, question: RequestAttempt
     ) -> ConditionFailedError | None:
         """Returns why the store refuses, or None if it doesn't."""
         try:
@@ -230,7 +230,7 @@
                 [record],
                 question.timeout,
                 at=at,
-                fresh=question.again,
+                new_connection=question.is_hedge,
             )
         except ConditionFailedError as error:
             return error
--- a/pimentocross/gateway/config_follower.py
+++ b/pimentocross/gateway/config_follower.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from pimentocross.contracts.asking import AGAIN_AFTER
+from pimentocross.contracts.hedging import HEDGE_DELAY
 from pimentocross.contracts.jitter import jittered
 from pimentocross.contracts.poll_pace import PollPace
 from pimentocross.contracts.store import StoreUnavailableError
@@ -87,7 +87,7 @@
             min(const.FOLLOW_WAIT, within * const.CONFIG_WAIT_SHARE)
         )
         self._again_after = min(
-            AGAIN_AFTER, within * const.CONFIG_OVERDUE_SHARE
+            HEDGE_DELAY, within * const.CONFIG_OVERDUE_SHARE
         )
         self._fresh_within = within * const.CONFIG_FRESH_SHARE
         self._current_within = within * const.CONFIG_CURRENT_SHARE
--- a/pimentocross/gateway/election.py
+++ b/pimentocross/gateway/election.py
@@ -12,9 +12,9 @@
 
 import trio
 
-from pimentocross.contracts.asking import (
-    AGAIN_AFTER,
-    Question,
+from pimentocross.contracts.hedging import (
+    HEDGE_DELAY,
+    RequestAttempt,
     first_answer,
 )
 from pimentocross.contracts.store import (
@@ -398,17 +398,17 @@
     async def _jobs_end(self) -> int:
         """Returns the end of the owner's records."""
         answered = await first_answer(
-            self._ask_jobs_end, 0.0, const.READ_TIMEOUT, AGAIN_AFTER
+            self._ask_jobs_end, 0.0, const.READ_TIMEOUT, HEDGE_DELAY
         )
         return answered.value
 
-    async def _ask_jobs_end(self, question: Question) -> int:
+    async def _ask_jobs_end(self, question: RequestAttempt) -> int:
         page = await self.store.read(
             const.JOBS_TOPIC,
             _BEYOND_ALL,
             0.0,
             question.timeout,
-            fresh=question.again,
+            new_connection=question.is_hedge,
         )
         return page.end
 
--- a/pimentocross/gateway/intake_writer.py
+++ b/pimentocross/gateway/intake_writer.py
@@ -4,9 +4,9 @@
 
 import trio
 
-from pimentocross.contracts.asking import (
-    AGAIN_AFTER,
-    Question,
+from pimentocross.contracts.hedging import (
+    HEDGE_DELAY,
+    RequestAttempt,
     first_answer,
 )
 from pimentocross.contracts.store import Record, Store, StoreUnavailableError
@@ -100,13 +100,13 @@
             # They came while the append before was failing.
             return StoreUnavailableError("store away", sent=False)
 
-        async def ask(question: Question) -> int:
+        async def ask(question: RequestAttempt) -> int:
             return await self._store.append(
-                TOPIC, batch, question.timeout, fresh=question.again
+                TOPIC, batch, question.timeout, new_connection=question.is_hedge
             )
 
         try:
-            await first_answer(ask, 0.0, _APPEND_TIMEOUT, AGAIN_AFTER)
+            await first_answer(ask, 0.0, _APPEND_TIMEOUT, HEDGE_DELAY)
         except StoreUnavailableError as error:
             self._away_until = trio.current_time() + _AWAY_PAUSE
             return error
--- a/pimentocross/owner/intake.py
+++ b/pimentocross/owner/intake.py
@@ -15,7 +15,7 @@
 from pimentocross.contracts.jitter import jittered
 from pimentocross.contracts.poll_pace import PollPace
 from pimentocross.contracts.store import Record, Store, StoreUnavailableError
-from pimentocross.contracts.topic_reader import TopicNews, TopicReader
+from pimentocross.contracts.topic_reader import TopicReader, TopicUpdate
 from pimentocross.observe import meters
 from pimentocross.observe.decisions import note
 from pimentocross.owner import const
@@ -130,7 +130,7 @@
             else:
                 self._pace.note_answer(news=bool(news.records))
 
-    async def _read(self, wait: float, timeout: float) -> TopicNews:
+    async def _read(self, wait: float, timeout: float) -> TopicUpdate:
         news = await self._reader.read(wait, timeout)
         # The newest of each key come in any order: a cancel needs its job.
         for record in sorted(news.records, key=_is_cancel):
--- a/pimentocross/owner/keeper.py
+++ b/pimentocross/owner/keeper.py
@@ -8,7 +8,7 @@
     Ending,
     EndKind,
     HoldReply,
-    Listed,
+    ListedRun,
     WorkerFencedError,
     WorkerReplacedError,
     WorkerUnreachableError,
@@ -262,7 +262,7 @@
         return batch
 
     def _take_running(
-        self, listed: list[Listed], changed: dict[Job, None]
+        self, listed: list[ListedRun], changed: dict[Job, None]
     ) -> set[tuple[Task, int]]:
         now = self._worker.heard_at
         runs = self._worker.runs
@@ -409,7 +409,7 @@
         self._context.wake()
 
 
-def _update(task: Task, run: Run, entry: Listed, now: float) -> None:
+def _update(task: Task, run: Run, entry: ListedRun, now: float) -> None:
     if run.state is RunState.SENT or run.state is RunState.UNSURE:
         run.enter(RunState.RUNNING, now)
         run.note_start_settled()
--- a/pimentocross/owner/ledger.py
+++ b/pimentocross/owner/ledger.py
@@ -6,10 +6,10 @@
 
 import trio
 
-from pimentocross.contracts.asking import (
-    AGAIN_AFTER,
-    Answered,
-    Question,
+from pimentocross.contracts.hedging import (
+    HEDGE_DELAY,
+    FirstAnswer,
+    RequestAttempt,
     first_answer,
 )
 from pimentocross.contracts.store import (
@@ -176,7 +176,7 @@
         self.stored_at = answered.asked_at
         self._append_since = None
 
-    async def _ask(self, records: list[Record]) -> Answered[_Refusal | None]:
+    async def _ask(self, records: list[Record]) -> FirstAnswer[_Refusal | None]:
         """Appends under this epoch's next number; asks again if overdue.
 
         An append that the store never got would keep records back after its
@@ -188,11 +188,14 @@
         mark = ProducerMark(self._producer, self._epoch, self._sequence)
         append = partial(self._try, records, mark)
         return await first_answer(
-            append, 0.0, const.APPEND_TIMEOUT, AGAIN_AFTER
+            append, 0.0, const.APPEND_TIMEOUT, HEDGE_DELAY
         )
 
     async def _try(
-        self, records: list[Record], mark: ProducerMark, question: Question
+        self,
+        records: list[Record],
+        mark: ProducerMark,
+        question: RequestAttempt,
     ) -> _Refusal | None:
         """Returns why the store refuses for good, or None if it doesn't."""
         try:
@@ -201,7 +204,7 @@
                 records,
                 question.timeout,
                 mark=mark,
-                fresh=question.again,
+                new_connection=question.is_hedge,
             )
         except (FencedError, SequenceGapError) as error:
             return error
--- a/pimentocross/owner/owner.py
+++ b/pimentocross/owner/owner.py
@@ -12,7 +12,7 @@
     WorkerDialer,
     WorkerDirectory,
 )
-from pimentocross.contracts.zones import EveryZone, ZoneAccess
+from pimentocross.contracts.zones import AllZonesOpen, ZoneAccess
 from pimentocross.observe.decisions import note
 from pimentocross.observe.lateness import LoopLateness
 from pimentocross.owner import const
@@ -55,7 +55,7 @@
     workers: WorkerDialer
     adviser: Adviser | None = None
     terms: OwnerTerms = OwnerTerms()
-    zones: ZoneAccess = EveryZone()
+    zones: ZoneAccess = AllZonesOpen()
     switches: Switches = Switches()
 
 
--- a/pimentocross/platform/store.py
+++ b/pimentocross/platform/store.py
@@ -11,7 +11,7 @@
 from pimentocross.contracts.store import (
     ConditionFailedError,
     FencedError,
-    HistoryGoneError,
+    HistoryExpiredError,
     Page,
     ProducerMark,
     Record,
@@ -76,7 +76,7 @@
         *,
         at: int | None = None,
         mark: ProducerMark | None = None,
-        fresh: bool = False,
+        new_connection: bool = False,
     ) -> int:
         """Appends records; see `Store`."""
         query: dict[str, str | int] = {"topic": _KEYED + topic, "part": 0}
@@ -88,7 +88,12 @@
             query["sequence"] = mark.sequence
         body = b"".join(_frame(record) for record in records)
         reply = await self._call(
-            "POST", "/pimentocross/log-append", query, body, timeout, fresh
+            "POST",
+            "/pimentocross/log-append",
+            query,
+            body,
+            timeout,
+            new_connection,
         )
         if reply.status == _OK:
             return _decode(reply).offset
@@ -107,7 +112,7 @@
         wait: float,
         timeout: float,
         *,
-        fresh: bool = False,
+        new_connection: bool = False,
     ) -> Page:
         """Reads records; see `Store`."""
         query: dict[str, str | int] = {
@@ -119,10 +124,10 @@
         if wait > 0:
             query["wait_ms"] = int(wait * 1000)
         reply = await self._call(
-            "GET", "/pimentocross/log-read", query, b"", timeout, fresh
+            "GET", "/pimentocross/log-read", query, b"", timeout, new_connection
         )
         if reply.status == _GONE:
-            raise HistoryGoneError
+            raise HistoryExpiredError
         if reply.status != _OK:
             raise StoreUnavailableError(
                 f"read: status {reply.status}", sent=False
@@ -130,7 +135,7 @@
         return _read_page(reply.body, start)
 
     async def newest(
-        self, topic: str, timeout: float, *, fresh: bool = False
+        self, topic: str, timeout: float, *, new_connection: bool = False
     ) -> Page:
         """Returns the newest record of each key; see `Store`."""
         records: list[Record] = []
@@ -138,9 +143,14 @@
         query: dict[str, str | int] = {"topic": _KEYED + topic, "part": 0}
         while True:
             reply = await self._call(
-                "GET", "/pimentocross/log-newest", query, b"", timeout, fresh
+                "GET",
+                "/pimentocross/log-newest",
+                query,
+                b"",
+                timeout,
+                new_connection,
             )
-            fresh = False
+            new_connection = False
             if reply.status != _OK:
                 raise StoreUnavailableError(
                     f"newest: status {reply.status}", sent=False
@@ -168,11 +178,11 @@
         query: dict[str, str | int],
         body: bytes,
         timeout: float,
-        fresh: bool,
+        new_connection: bool,
     ) -> HttpReply:
         target = f"{path}?{urlencode(query)}"
         try:
-            if fresh:
+            if new_connection:
                 await self._pool.aclose()
             return await self._pool.call(method, target, body, timeout)
         except HttpCallError as error:
--- a/pimentocross/platform/topics.py
+++ b/pimentocross/platform/topics.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from pimentocross.contracts.asking import AGAIN_AFTER
+from pimentocross.contracts.hedging import HEDGE_DELAY
 from pimentocross.contracts.store import Record, Store
 from pimentocross.contracts.topic_reader import TopicReader
 from pimentocross.contracts.worker_link import WorkerLife
@@ -33,12 +33,12 @@
         self,
         wait: float,
         timeout: float,
-        again_after: float = AGAIN_AFTER,
+        again_after: float = HEDGE_DELAY,
         urgent: trio.Event | None = None,
     ) -> ConfigNews:
         """Returns the newest configuration, if new; see `ConfigSource`."""
         news = await self._reader.read(wait, timeout, again_after, urgent)
-        if news.whole:
+        if news.is_snapshot:
             # Removals may have expired: what isn't told now isn't there.
             self._evacuated.clear()
         found: WorkConfig | None = None
@@ -84,7 +84,7 @@
         stood under its key before: another writer may have put it there.
         """
         news = await self._reader.read(0.0, timeout)
-        if news.whole:
+        if news.is_snapshot:
             # Removals may have expired: what isn't told now isn't there.
             self._lives.clear()
         for record in news.records:
--- a/pimentocross/platform/wire.py
+++ b/pimentocross/platform/wire.py
@@ -13,7 +13,7 @@
     Ending,
     EndKind,
     HoldReply,
-    Listed,
+    ListedRun,
     WorkerLife,
 )
 from pimentocross.work.queue import (
@@ -335,7 +335,7 @@
     else:
         # Each row is made in one step: listings are most of what is decoded.
         running = [
-            Listed(
+            ListedRun(
                 read_task(row.task),
                 row.run,
                 row.checkpoint,
@@ -348,9 +348,9 @@
     return HoldReply(reply.clock_ms / _MS, running, endings, int(reply.born))
 
 
-def _listed(row: list[Any]) -> Listed:
+def _listed(row: list[Any]) -> ListedRun:
     figure = row[4] if len(row) > 4 else 0
-    return Listed(
+    return ListedRun(
         read_task(row[0]), int(row[1]), str(row[2]), int(row[3]), int(figure)
     )
 
--- a/pimentocross/standins/store.py
+++ b/pimentocross/standins/store.py
@@ -9,7 +9,7 @@
 from pimentocross.contracts.store import (
     ConditionFailedError,
     FencedError,
-    HistoryGoneError,
+    HistoryExpiredError,
     Page,
     ProducerMark,
     Record,
@@ -176,10 +176,10 @@
         *,
         at: int | None = None,
         mark: ProducerMark | None = None,
-        fresh: bool = False,
+        new_connection: bool = False,
     ) -> int:
         """Appends records."""
-        await self._reach(timeout, fresh)
+        await self._reach(timeout, new_connection)
         faults = self._store.faults
         if faults.random.random() < faults.late:
             trio.lowlevel.spawn_system_task(
@@ -198,15 +198,15 @@
         wait: float,
         timeout: float,
         *,
-        fresh: bool = False,
+        new_connection: bool = False,
     ) -> Page:
         """Reads records."""
         asked_at = trio.current_time()
         silenced = self._store.faults.silenced
-        await self._reach(timeout, fresh)
+        await self._reach(timeout, new_connection)
         found = self._store.topic(topic)
         if start < found.first:
-            raise HistoryGoneError
+            raise HistoryExpiredError
         if start >= len(found.records) and wait > 0:
             with trio.move_on_after(wait):
                 await found.changed.wait()
@@ -215,14 +215,14 @@
             left = timeout - (trio.current_time() - asked_at)
             if self._store.faults.silenced != silenced:
                 await self._hang(left)
-            await self._reach(left, fresh=True)
+            await self._reach(left, new_connection=True)
         return Page(found.records[start:], len(found.records))
 
     async def newest(
-        self, topic: str, timeout: float, *, fresh: bool = False
+        self, topic: str, timeout: float, *, new_connection: bool = False
     ) -> Page:
         """Returns the newest record of each key."""
-        await self._reach(timeout, fresh)
+        await self._reach(timeout, new_connection)
         found = self._store.topic(topic)
         newest = {record.key: record for record in found.records}
         kept = [r for r in newest.values() if r.value is not None]
@@ -242,10 +242,10 @@
             # Its condition holds no more.
             return
 
-    async def _reach(self, timeout: float, fresh: bool) -> None:
+    async def _reach(self, timeout: float, new_connection: bool) -> None:
         faults = self._store.faults
         self._store.calls += 1
-        await self._pass_silent(timeout, fresh)
+        await self._pass_silent(timeout, new_connection)
         if self._name in faults.refused:
             await trio.sleep(faults.delay)
             raise StoreUnavailableError("status 503", sent=False)
@@ -255,12 +255,12 @@
             await self._hang(timeout)
         await trio.sleep(faults.delay)
 
-    async def _pass_silent(self, timeout: float, fresh: bool) -> None:
+    async def _pass_silent(self, timeout: float, new_connection: bool) -> None:
         """Hangs if the call goes out on a kept connection that is silent."""
         silenced = self._store.faults.silenced
         if silenced != self._silenced:
             self._silenced, self._silent = silenced, _IDLE_KEPT
-        if fresh:
+        if new_connection:
             self._silent = 0
         if self._silent:
             self._silent -= 1
--- a/pimentocross/standins/task_worker.py
+++ b/pimentocross/standins/task_worker.py
@@ -10,7 +10,7 @@
     Ending,
     EndKind,
     HoldReply,
-    Listed,
+    ListedRun,
     StartOrder,
     StartVerdict,
     WorkerFencedError,
@@ -220,7 +220,7 @@
         self._advance()
         now = self.clock()
         running = [
-            Listed(
+            ListedRun(
                 task,
                 run,
                 "",
--- a/pimentocross/standins/users_platform.py
+++ b/pimentocross/standins/users_platform.py
@@ -16,7 +16,7 @@
 from pimentocross.contracts.store import (
     ConditionFailedError,
     FencedError,
-    HistoryGoneError,
+    HistoryExpiredError,
     ProducerMark,
     Record,
     SequenceGapError,
@@ -113,7 +113,7 @@
             page = await self._client.read(
                 topic, int(query["from"]), wait, _PATIENCE
             )
-        except HistoryGoneError:
+        except HistoryExpiredError:
             return json_reply({"first_offset": 0}, 410)
         body = struct.pack(">QQ", page.end, 0)
         body += b"".join(_frame(record) for record in page.records)
--- a/pimentocross/vms/worker.py
+++ b/pimentocross/vms/worker.py
@@ -208,7 +208,7 @@
     def _build(self, commands: Sequence[Command]) -> Exchange:
         self._sequence += 1
         now = trio.current_time()
-        not_after = min(self._authority.acts_until, now + const.COMMAND_TTL)
+        not_after = min(self._authority.may_act_until, now + const.COMMAND_TTL)
         if self._met and not self._doubtful:
             self._grant(now)
         return Exchange(
--- a/tests/gateway_fixtures.py
+++ b/tests/gateway_fixtures.py
@@ -93,13 +93,18 @@
         *,
         at: int | None = None,
         mark: ProducerMark | None = None,
-        fresh: bool = False,
+        new_connection: bool = False,
     ) -> int:
         """Appends records, those of a busy new owner late."""
         if topic == const.JOBS_TOPIC:
             await self.wait_while_busy()
         offset = await self._client.append(
-            topic, records, timeout, at=at, mark=mark, fresh=fresh
+            topic,
+            records,
+            timeout,
+            at=at,
+            mark=mark,
+            new_connection=new_connection,
         )
         if topic == const.CLUSTER_TOPIC and at is not None:
             self.claimed_at = trio.current_time()
@@ -112,18 +117,22 @@
         wait: float,
         timeout: float,
         *,
-        fresh: bool = False,
+        new_connection: bool = False,
     ) -> Page:
         """Reads records."""
-        return await self._client.read(topic, start, wait, timeout, fresh=fresh)
+        return await self._client.read(
+            topic, start, wait, timeout, new_connection=new_connection
+        )
 
     async def newest(
-        self, topic: str, timeout: float, *, fresh: bool = False
+        self, topic: str, timeout: float, *, new_connection: bool = False
     ) -> Page:
         """Returns the newest records; the state of jobs takes its time."""
         if topic == const.JOBS_TOPIC:
             await trio.sleep(self._cell.reading_takes)
-        return await self._client.newest(topic, timeout, fresh=fresh)
+        return await self._client.newest(
+            topic, timeout, new_connection=new_connection
+        )
 
     async def wait_while_busy(self) -> None:
         """Waits until this VM, if it has claimed, does more than adopt."""
--- a/tests/owner_fixtures.py
+++ b/tests/owner_fixtures.py
@@ -11,7 +11,7 @@
 from pimentocross.contracts.store import FencedError, StoreUnavailableError
 from pimentocross.contracts.switches import ALL_ON, Switches
 from pimentocross.contracts.worker_link import WorkerFencedError, WorkerLife
-from pimentocross.contracts.zones import EveryZone, ZoneAccess
+from pimentocross.contracts.zones import AllZonesOpen, ZoneAccess
 from pimentocross.owner.former_leases import Predecessor
 from pimentocross.owner.owner import CellPlatform, Claim, Owner
 from pimentocross.standins.store import StoreStandin
@@ -168,7 +168,7 @@
         access,
         access,
         adviser,
-        zones=zones or EveryZone(),
+        zones=zones or AllZonesOpen(),
         switches=switches,
     )
     formers = tuple(
--- a/tests/test_fold.py
+++ b/tests/test_fold.py
@@ -1,4 +1,4 @@
-"""Log folds: differential against a naive reader, snapshots, retention."""
+"""Tests of log folds: comparison with a naive fold, snapshots, retention."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -11,13 +11,13 @@
 from pimentocross.standins.faults import FaultPlan
 from pimentocross.standins.log import LogStandin
 
-# A change is in force everywhere this long after its acknowledgement, in
-# seconds, as on the users' platform.
-_READ_WITHIN = 2.0
+# Seconds within which a change must be in force everywhere after its
+# acknowledgement, as on the users' platform.
+_MAX_READ_LAG = 2.0
 
 
-class _Sum:
-    """Adds numbers to accounts; rejects what would go below zero."""
+class _Balances:
+    """Adds amounts to accounts; rejects amounts that make one negative."""
 
     def __init__(self) -> None:
         self.accounts: dict[str, int] = {}
@@ -40,8 +40,8 @@
     return {"kind": "add", "name": name, "amount": amount}
 
 
-def _fold(log: LogStandin) -> StreamFold[_Sum]:
-    return StreamFold(log, "s", _Sum())
+def _fold(log: LogStandin) -> StreamFold[_Balances]:
+    return StreamFold(log, "s", _Balances())
 
 
 _changes = st.lists(
@@ -58,10 +58,10 @@
         log = LogStandin(seed=seed)
         log.faults.plan = FaultPlan(lose_replies=lost, lose_requests=lost / 2)
         fold, other = _fold(log), _fold(log)
-        naive = _Sum()
+        naive = _Balances()
         async with trio.open_nursery() as nursery:
-            for running in (fold, other):
-                nursery.start_soon(running.run)
+            for reader in (fold, other):
+                nursery.start_soon(reader.run)
             nursery.start_soon(fold.run_writer)
             for name, amount in changes:
                 verdict = await fold.publish(
@@ -98,13 +98,16 @@
 
 
 async def test_a_record_after_a_silent_log_is_read_in_time() -> None:
-    """Whatever was asked while the log was silent, and is never answered."""
+    """Guards against a read that waits on for a request which was lost.
+
+    Requests that were sent while the log was silent are never answered.
+    """
     lags = [await _lag_after_silence(8.0 + step * 0.25) for step in range(40)]
-    assert max(lags) < _READ_WITHIN, max(lags)
+    assert max(lags) < _MAX_READ_LAG, max(lags)
 
 
 async def _lag_after_silence(seconds: float) -> float:
-    """Returns how long after its append a reader has a record."""
+    """Returns the seconds from a record's append until a reader has it."""
     log = LogStandin()
     reader = _fold(log)
     async with trio.open_nursery() as nursery:
@@ -137,7 +140,7 @@
         await trio.sleep(3)
         assert not reader.ready
         assert reader.state.accounts == {"a": 1}
-        # What an older peer holds does not take it back.
+        # The fold of a peer that is behind must not replace the state.
         assert not reader.load(_fold(log).dump())
         await writer.append_snapshot()
         await trio.sleep(6)
--- a/tests/test_ownership_rules.py
+++ b/tests/test_ownership_rules.py
@@ -1,4 +1,7 @@
-"""The ownership rules keep two owners apart, and each of them is needed."""
+"""Tests that the ownership rules prevent two owners at once.
+
+Each rule is also switched off in turn, to show that it is needed.
+"""
 
 from tests.ownership_model import Rules, run_world
 
@@ -19,7 +22,8 @@
         world = run_world(seed, Rules())
         assert not world.violations, (seed, world.violations)
         acts += world.acts
-    # Owners did act for most of the time: the rules are not mere silence.
+    # The rules must not just keep everybody from acting: most of the time,
+    # there is an owner that acts.
     assert acts > 50 * _RUNS
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,7 @@
-"""Every example of a part runs, and the parts stand alone."""
+"""Tests the examples of the coordination building blocks.
+
+The building blocks must not depend on a deployment or on another layer.
+"""
 
 from pathlib import Path
 import subprocess
@@ -13,7 +16,7 @@
 from pimentocross.contracts.retry_budget import RetryBudget
 
 _ROOT = Path(__file__).parent.parent
-_SOURCES = _ROOT / "pimentocross" / "contracts"
+_CONTRACTS = _ROOT / "pimentocross" / "contracts"
 _EXPECTED = {
     "log_fold": "reader sees {'kite': 2}",
     "ownership": "may act: [False, True]",
@@ -37,7 +40,7 @@
 
 
 def test_parts_name_no_deployment_and_no_other_layer() -> None:
-    for path in _SOURCES.glob("*.py"):
+    for path in _CONTRACTS.glob("*.py"):
         text = path.read_text().lower()
         for word in ("quetzal", "ostend", "http", "yaml", "pimentocross.entry"):
             assert word not in text, (path.name, word)
@@ -67,7 +70,7 @@
             else:
                 await trio.sleep(seconds)
                 idle += seconds
-            # A tenth of the reserve comes back in each window of idleness.
+            # A tenth of the reserve is refilled per window of idle time.
             assert retries <= 0.1 * requests + 5.0 + idle * 0.05 + 1e-6
 
     trio.run(run, clock=MockClock(autojump_threshold=0))
@@ -76,7 +79,7 @@
 @given(st.lists(st.one_of(st.none(), st.floats(0.0001, 10.0)), max_size=300))
 @settings(max_examples=100, derandomize=True, deadline=None)
 def test_limit_stays_in_its_range(latencies: list[float | None]) -> None:
-    limit = AdaptiveLimit(most=16, least=2)
+    limit = AdaptiveLimit(max_limit=16, min_limit=2)
     for latency in latencies:
         if latency is None:
             limit.note_failure()
--- a/tests/test_silent_store.py
+++ b/tests/test_silent_store.py
@@ -1,9 +1,9 @@
-"""A store that was silent comes back, or answers a waiting read too late.
+"""Tests of a store that recovers from an outage or wakes no waiting reads.
 
-In the record, a cell's store is silent for 8 s. More than half of the VMs are
-killed meanwhile and start again, and on its return five versions of the
-configuration are acknowledged 27 ms after one another. Two VMs that ran on
-denied a route of the last one 2.5 s later.
+Guards against a recorded failure. A cell's store was silent for 8 s; more than
+half of the VMs were killed meanwhile and restarted. On the store's recovery,
+five versions of the configuration were acknowledged at intervals of 27 ms. Two
+VMs that had not been restarted denied a route of the last version 2.5 s later.
 """
 
 from collections.abc import AsyncIterator, Callable
@@ -21,29 +21,28 @@
 from tests.gateway_fixtures import WEAK, VmCell
 from tests.owner_fixtures import wait_until
 
-# A change is in force everywhere this long after its acknowledgement, in
-# seconds, as the users' pages ask.
-_APPLY_WITHIN = 2.0
-# A change that the store doesn't tell a waiting read of is in force within a
-# quarter of that.
-_UNTOLD_WITHIN = 0.5
-# All VMs know an owner again this long after the former one's death at most, in
-# seconds, as large cells ask.
-_SUCCEED_WITHIN = 3.0
+# Seconds within which a change must be in force everywhere after its
+# acknowledgement, as the users' documentation demands.
+_MAX_APPLY_LAG = 2.0
+# The same for a change for which the store wakes no waiting read: a quarter.
+_MAX_APPLY_LAG_WITHOUT_WAKE = 0.5
+# Seconds after an owner's death within which all VMs must know its successor,
+# as large cells require.
+_MAX_SUCCESSION_TIME = 3.0
 _VMS = 8
-# Of the VMs, those that are killed while the store is silent.
+# Number of VMs that are killed while the store is silent.
 _KILLED = 5
-_SILENCE = 8.05
+_OUTAGE = 8.05
 _VERSIONS = 5
-_BETWEEN_VERSIONS = 0.027
+_VERSION_INTERVAL = 0.027
 
 
 class _Vm:
-    """A VM's process, as far as it follows the configuration."""
+    """The part of a VM's process that follows the configuration."""
 
     def __init__(self, store: StoreStandin, name: str) -> None:
         source = OperatorTopic(store.client(name))
-        self.follower = ConfigFollower(source, _APPLY_WITHIN)
+        self.follower = ConfigFollower(source, _MAX_APPLY_LAG)
         self._scope = trio.CancelScope()
 
     @property
@@ -80,10 +79,10 @@
         self._vms[:count] = [self._start(number) for number in range(count)]
 
     async def publish(self, count: int = 1) -> None:
-        """Writes versions one after the other, each once the last is stored."""
+        """Writes versions in sequence, each after the previous is stored."""
         for number in range(count):
             if number:
-                await trio.sleep(_BETWEEN_VERSIONS)
+                await trio.sleep(_VERSION_INTERVAL)
             self._version += 1
             queues = {f"/q{self._version}/": "stock"}
             value = operator_config(self._version, queues)
@@ -92,7 +91,7 @@
             )
 
     async def lag(self) -> float:
-        """Returns how long it takes until all have the newest version."""
+        """Returns the seconds until all VMs have the newest version."""
         began = trio.current_time()
         with trio.fail_after(30):
             while any(vm.version < self._version for vm in self._vms):
@@ -107,7 +106,7 @@
 
 @asynccontextmanager
 async def _running_vms() -> AsyncIterator[_Vms]:
-    """VMs that have the first version."""
+    """Runs VMs that have the first version."""
     async with trio.open_nursery() as nursery:
         vms = _Vms(nursery)
         await vms.publish()
@@ -119,7 +118,7 @@
 async def test_versions_on_a_silent_stores_return_are_in_force_in_time() -> (
     None
 ):
-    """The recorded order of events, at any moment of a reader's rhythm."""
+    """The recorded failure, with its events at different phases of a poll."""
     lags = []
     for step in range(40):
         async with _running_vms() as vms:
@@ -129,17 +128,17 @@
             vms.kill(_KILLED)
             await trio.sleep(1.0)
             vms.restart(_KILLED)
-            await trio.sleep(_SILENCE - 4.0 + step * 0.1)
+            await trio.sleep(_OUTAGE - 4.0 + step * 0.1)
             vms.store.faults.away = False
             await vms.publish(_VERSIONS)
             lags.append(await vms.lag())
-    assert max(lags) < _APPLY_WITHIN, max(lags)
+    assert max(lags) < _MAX_APPLY_LAG, max(lags)
 
 
 async def test_a_confirmed_route_is_not_denied_by_a_vm_that_was_not_told() -> (
     None
 ):
-    """Its read waits on though the version is there."""
+    """The VM's read keeps waiting although the version is stored."""
     for step in range(10):
         async with _running_vms() as vms:
             vms.store.faults.deaf = True
@@ -151,19 +150,19 @@
 
 
 async def test_callers_of_unknown_routes_cost_few_questions() -> None:
-    """However many they are, a VM asks ten times a second at most."""
+    """A VM looks up the newest version at most ten times a second."""
     async with _running_vms() as vms:
         await trio.sleep(5.0)
-        asked = vms.store.calls
+        calls_before = vms.store.calls
         for _ in range(200):
             assert await vms.first.follower.make_current()
             await trio.sleep(0.005)
-        # Each look-up, and the waiting read that follows it.
-        assert vms.store.calls - asked <= 2 * 10 + 2 * _VMS
+        # Each look-up is followed by a waiting read.
+        assert vms.store.calls - calls_before <= 2 * 10 + 2 * _VMS
 
 
 async def test_a_slow_store_has_callers_wait_briefly_once() -> None:
-    """An answer that takes 0.4 s is too late to be waited for."""
+    """Callers don't wait for an answer that takes 0.4 s."""
     async with _running_vms() as vms:
         await trio.sleep(5.0)
         vms.store.faults.delay = 0.4
@@ -182,22 +181,22 @@
         await vms.publish()
         await vms.lag()
         await vms.publish(_VERSIONS)
-        assert await vms.lag() < _UNTOLD_WITHIN
+        assert await vms.lag() < _MAX_APPLY_LAG_WITHOUT_WAKE
 
 
 async def test_a_first_version_is_in_force_soon_though_it_is_not_told() -> None:
-    """The operator writes it just as the processes start."""
+    """The operator writes the version just as the processes start."""
     async with trio.open_nursery() as nursery:
         vms = _Vms(nursery)
         vms.store.faults.deaf = True
         await trio.sleep(0.01)
         await vms.publish()
-        assert await vms.lag() < _UNTOLD_WITHIN
+        assert await vms.lag() < _MAX_APPLY_LAG_WITHOUT_WAKE
         nursery.cancel_scope.cancel()
 
 
 def test_waits_are_short_after_news_and_grow_to_the_longest() -> None:
-    """Each record of a series starts the growth again, as an outage does."""
+    """Each new record of a series, and a restart, reset the wait."""
     pace = PollPace(1.0)
     waits = []
     for news in (False, False, False, False, True, True, False):
@@ -211,7 +210,7 @@
 def test_a_dead_owner_is_followed_in_time_though_connections_go_silent() -> (
     None
 ):
-    """Those to the store, at any moment of the succession."""
+    """Connections to the store go silent at different times of a succession."""
 
     def silence(faults: StoreFaults) -> None:
         faults.silenced += 1
@@ -220,12 +219,12 @@
 
 
 def test_a_dead_owner_is_followed_in_time_though_claims_are_not_told() -> None:
-    """Whoever wasn't told of a claim takes its owner for a stranger."""
+    """A VM that does not know of a claim rejects its owner as unknown."""
 
-    def deafen(faults: StoreFaults) -> None:
+    def stop_waking(faults: StoreFaults) -> None:
         faults.deaf = True
 
-    _check_succession(deafen)
+    _check_succession(stop_waking)
 
 
 def _check_succession(fault: Callable[[StoreFaults], None]) -> None:
@@ -236,13 +235,13 @@
             lags.append(await _succession(fault, after))
 
         run_virtual(run, step)
-    assert max(lags) < _SUCCEED_WITHIN, max(lags)
+    assert max(lags) < _MAX_SUCCESSION_TIME, max(lags)
 
 
 async def _succession(
     fault: Callable[[StoreFaults], None], after: float
 ) -> float:
-    """Returns how long after an owner's death some VM knows none."""
+    """Returns the seconds from an owner's death until all VMs know an owner."""
     cell = VmCell()
     async with cell.running():
         for number in range(_VMS):
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -5,7 +5,7 @@
 from pimentocross.contracts.store import (
     ConditionFailedError,
     FencedError,
-    HistoryGoneError,
+    HistoryExpiredError,
     ProducerMark,
     Record,
     SequenceGapError,
@@ -64,7 +64,7 @@
         try:
             await client.read("op", 1, 0.0, 1.0)
             raise AssertionError("forgotten records were read")
-        except HistoryGoneError:
+        except HistoryExpiredError:
             pass
         newer = (await operator.next_config(0.0, 1.0)).config
         assert newer is not None
--- a/tests/test_topics.py
+++ b/tests/test_topics.py
@@ -1,8 +1,8 @@
-"""What the topics of the platform tell after records have expired.
+"""Tests of the platform's topics after records have expired or an outage.
 
-A reader that finds its position expired begins anew with the newest record of
-each key. The directory kept the workers that it had known before and only added
-to them; a worker whose removal had expired with the rest stayed listed.
+A reader whose position has expired starts over with the newest record of each
+key. Guards against a directory that only adds these workers to those it knew
+before: a worker whose removal had expired with other records stayed listed.
 """
 
 import trio
@@ -14,12 +14,12 @@
 from pimentocross.standins.users_platform import server_entry
 from tests.owner_fixtures import life
 
-# A worker that says that it leaves gets no start after this, in seconds, as the
-# users' pages ask.
-_DRAIN_WITHIN = 2.0
+# Seconds after which a worker that announces its drain must get no more starts,
+# as the users' documentation demands.
+_MAX_DRAIN_LAG = 2.0
 
 
-async def _list(store: StoreStandin, *records: Record) -> None:
+async def _append_entries(store: StoreStandin, *records: Record) -> None:
     await store.client("worker").append("servers", list(records), 1.0)
 
 
@@ -30,32 +30,35 @@
 async def test_a_worker_whose_removal_has_expired_is_not_listed() -> None:
     store = StoreStandin()
     directory = ServerTopic(store.client("vm"))
-    await _list(store, _entry(0), _entry(1))
+    await _append_entries(store, _entry(0), _entry(1))
     assert len(await directory.poll(1.0)) == 2
-    await _list(store, Record(life(0).id, None), _entry(2))
+    await _append_entries(store, Record(life(0).id, None), _entry(2))
     store.forget_history("servers")
     listed = await directory.poll(1.0)
     assert {worker.id for worker in listed} == {life(1).id, life(2).id}
 
 
 async def test_the_directory_is_read_in_time_after_an_outage() -> None:
-    """Whenever it was asked: a worker that leaves gets no start after 2.0 s."""
+    """The delay holds at whatever moment of a poll the outage ends.
+
+    A worker that is about to leave must get no start after 2.0 s.
+    """
     for step in range(40):
         store = StoreStandin()
         directory = ServerTopic(store.client("vm"))
-        await _list(store, _entry(0))
+        await _append_entries(store, _entry(0))
         await directory.poll(const.ROSTER_TIMEOUT)
         store.faults.away = True
         away_for = step * 0.1
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_come_back_after, store, away_for)
+            nursery.start_soon(_recover_after, store, away_for)
             began = trio.current_time()
             await _poll_until_answered(directory)
-            assert trio.current_time() - began - away_for < _DRAIN_WITHIN
+            assert trio.current_time() - began - away_for < _MAX_DRAIN_LAG
 
 
 async def _poll_until_answered(directory: ServerTopic) -> None:
-    """Polls as an owner does."""
+    """Polls with the timeout and interval of an owner."""
     while True:
         try:
             await directory.poll(const.ROSTER_TIMEOUT)
@@ -65,6 +68,6 @@
             return
 
 
-async def _come_back_after(store: StoreStandin, seconds: float) -> None:
+async def _recover_after(store: StoreStandin, seconds: float) -> None:
     await trio.sleep(seconds)
     store.faults.away = False
--- a/tests/test_wire_cost.py
+++ b/tests/test_wire_cost.py
@@ -21,7 +21,7 @@
     Ending,
     EndKind,
     HoldReply,
-    Listed,
+    ListedRun,
 )
 from pimentocross.links.asgi import HttpRequest
 from pimentocross.links.target_connection import (
@@ -157,9 +157,9 @@
     assert reply == HoldReply(
         1.5005,
         [
-            Listed(TaskName("j", 0, 1, 2), 3, "", 37, 0),
-            Listed(TaskName("a.b", 0, 1, 2), 4, "5", 6, 7),
-            Listed(TaskName("j", 0, 0, 0), 1, "c", 2, 3),
+            ListedRun(TaskName("j", 0, 1, 2), 3, "", 37, 0),
+            ListedRun(TaskName("a.b", 0, 1, 2), 4, "5", 6, 7),
+            ListedRun(TaskName("j", 0, 0, 0), 1, "c", 2, 3),
         ],
         [Ending(1, TaskName("j", 0, 1, 2), 3, EndKind.DONE, "")],
     )
