--- a/pimentocross/contracts/authority.py
+++ b/pimentocross/contracts/authority.py
@@ -166,8 +166,8 @@
         """Records a member's statement.
 
         Returns:
-            False if the statement is ignored, because the member has read
-            further than this fold or this fold is not ready.
+            False if the statement doesn't count as a confirmation, because the
+            member has read further than this fold or this fold is not ready.
         """
         for newcomer in statement.acknowledged:
             if newcomer != self._process:
--- a/pimentocross/contracts/fold.py
+++ b/pimentocross/contracts/fold.py
@@ -211,8 +211,8 @@
         """Appends one record and waits until it is read back.
 
         An append whose reply was lost is repeated with the same id, which
-        every reader folds only once, so the verdict is always based on the
-        log itself.
+        every reader folds only once. So the verdict is never a guess: it is
+        accepted or rejected only once the record was read back.
 
         Args:
             body: The record's kind and fields; an id is added if it has none.
@@ -242,7 +242,10 @@
         return pending.verdict
 
     def publish_later(self, body: RecordBody) -> None:
-        """Queues a record without waiting; its append is retried."""
+        """Queues a record without waiting for its verdict.
+
+        The append is retried until it succeeds, unless the outbox overflows.
+        """
         self._outbox.put_bounded(Pending(self.new_body(body), urgent=False))
 
     async def wait_position(self, offset: int) -> None:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -70,7 +70,7 @@
             else:
                 await trio.sleep(seconds)
                 idle += seconds
-            # A tenth of the reserve is refilled per window of idle time.
+            # A tenth of the reserve is refilled per window without requests.
             assert retries <= 0.1 * requests + 5.0 + idle * 0.05 + 1e-6
 
     trio.run(run, clock=MockClock(autojump_threshold=0))
