--- a/pimentocross/gateway/election.py
+++ b/pimentocross/gateway/election.py
@@ -13,9 +13,9 @@
 
 import trio
 
-from pimentocross.contracts.asking import (
-    AGAIN_AFTER,
-    Question,
+from pimentocross.contracts.hedging import (
+    HEDGE_DELAY,
+    RequestAttempt,
     first_answer,
 )
 from pimentocross.contracts.store import (
@@ -459,17 +459,17 @@
     async def _read_jobs_end(self) -> int:
         """Returns the end offset of the topic that the owner writes."""
         answered = await first_answer(
-            self._request_jobs_end, 0.0, const.READ_TIMEOUT, AGAIN_AFTER
+            self._request_jobs_end, 0.0, const.READ_TIMEOUT, HEDGE_DELAY
         )
         return answered.value
 
-    async def _request_jobs_end(self, question: Question) -> int:
+    async def _request_jobs_end(self, question: RequestAttempt) -> int:
         page = await self.store.read(
             const.JOBS_TOPIC,
             _OFFSET_PAST_END,
             0.0,
             question.timeout,
-            fresh=question.again,
+            new_connection=question.is_hedge,
         )
         return page.end
 
--- a/pimentocross/gateway/intake_writer.py
+++ b/pimentocross/gateway/intake_writer.py
@@ -4,9 +4,9 @@
 
 import trio
 
-from pimentocross.contracts.asking import (
-    AGAIN_AFTER,
-    Question,
+from pimentocross.contracts.hedging import (
+    HEDGE_DELAY,
+    RequestAttempt,
     first_answer,
 )
 from pimentocross.contracts.store import Record, Store, StoreUnavailableError
@@ -101,13 +101,13 @@
             # These records arrived while the previous append was failing.
             return StoreUnavailableError("store away", sent=False)
 
-        async def ask(question: Question) -> int:
+        async def ask(question: RequestAttempt) -> int:
             return await self._store.append(
-                TOPIC, batch, question.timeout, fresh=question.again
+                TOPIC, batch, question.timeout, new_connection=question.is_hedge
             )
 
         try:
-            await first_answer(ask, 0.0, _APPEND_TIMEOUT, AGAIN_AFTER)
+            await first_answer(ask, 0.0, _APPEND_TIMEOUT, HEDGE_DELAY)
         except StoreUnavailableError as error:
             self._away_until = trio.current_time() + _RETRY_PAUSE
             return error
--- a/pimentocross/owner/keeper.py
+++ b/pimentocross/owner/keeper.py
@@ -8,7 +8,7 @@
     Ending,
     EndKind,
     HoldReply,
-    Listed,
+    ListedRun,
     WorkerFencedError,
     WorkerReplacedError,
     WorkerUnreachableError,
@@ -297,7 +297,7 @@
         return batch
 
     def _process_running(
-        self, listed: list[Listed], changed: dict[Job, None]
+        self, listed: list[ListedRun], changed: dict[Job, None]
     ) -> set[tuple[Task, int]]:
         now = self._worker.last_reply_at
         runs = self._worker.runs
@@ -449,7 +449,7 @@
         self._context.wake()
 
 
-def _update_run(task: Task, run: Run, entry: Listed, now: float) -> None:
+def _update_run(task: Task, run: Run, entry: ListedRun, now: float) -> None:
     if run.state is RunState.SENT or run.state is RunState.UNSURE:
         run.enter(RunState.RUNNING, now)
         run.note_start_settled()
--- a/pimentocross/standins/task_worker.py
+++ b/pimentocross/standins/task_worker.py
@@ -10,7 +10,7 @@
     Ending,
     EndKind,
     HoldReply,
-    Listed,
+    ListedRun,
     StartOrder,
     StartVerdict,
     WorkerFencedError,
@@ -191,7 +191,7 @@
         return max(min([*ends, self._lease_end], default=now) - now, 0.0)
 
     def figure(self, plan: TaskPlan) -> int:
-        """Returns what a run is listed with; see `Listed`."""
+        """Returns what a run is listed with; see `ListedRun`."""
         return 0
 
     def check_connected(self, born: int) -> None:
@@ -220,7 +220,7 @@
         self._advance()
         now = self.clock()
         running = [
-            Listed(
+            ListedRun(
                 task,
                 run,
                 "",
