--- a/bench/large_owner.py
+++ b/bench/large_owner.py
@@ -26,8 +26,8 @@
 from pimentocross.contracts.worker_link import Ending, WorkerLife
 from pimentocross.contracts.zones import EveryZone
 from pimentocross.owner.former_leases import FormerLeases
-from pimentocross.owner.jobs import JobBook
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.jobs import JobRegistry
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.owner.ledger import Ledger
 from pimentocross.owner.orders import Orders, Placement
 from pimentocross.owner.roster import Roster, RosterParts
@@ -68,8 +68,8 @@
 
     def __init__(self, store: StoreClient, addresses: str) -> None:
         self.ledger = Ledger(store, "jobs", "owner", 1)
-        self.book = JobBook(self.ledger, _KEPT)
-        self.learned = Learned()
+        self.book = JobRegistry(self.ledger, _KEPT)
+        self.learned = LearnedEstimates()
         former_leases = FormerLeases(
             1, (), OwnerTerms(), self.ledger, quiet=True
         )
@@ -93,7 +93,7 @@
         self, worker: Worker, task: Task, run: Run | None, ending: Ending
     ) -> None:
         self.ended += 1
-        self.learned.judge(worker, task, run, ending)
+        self.learned.on_ending(worker, task, run, ending)
 
     def _on_listed(self, worker: Worker) -> None:
         self.holds += 1
@@ -106,7 +106,7 @@
         while True:
             await trio.sleep(_PASS)
             placements = []
-            for step in self.book.open_steps(time.time()):
+            for step in self.book.ready_steps(time.time()):
                 for task in list(step.waiting()):
                     worker = next(workers)
                     now = trio.current_time()
--- a/bench/owner.py
+++ b/bench/owner.py
@@ -127,12 +127,12 @@
 async def _run_jobs(owner: Owner) -> None:
     spec = JobSpec("payload", (StepSpec(_WIDTH, _SIZE, _SECONDS),))
     for number in range(_JOBS):
-        await owner.desk.submit(f"j{number}", QUEUE, spec)
+        await owner.job_api.submit(f"j{number}", QUEUE, spec)
         await trio.sleep(_PAUSE)
     jobs = [f"j{number}" for number in range(_JOBS)]
     with trio.fail_after(60):
         while any(
-            owner.desk.state(job).state is not JobState.COMPLETED
+            owner.job_api.state(job).state is not JobState.COMPLETED
             for job in jobs
         ):
             await trio.sleep(0.1)
--- a/bench/wire_parts.py
+++ b/bench/wire_parts.py
@@ -32,10 +32,10 @@
 from pimentocross.owner.crashes import Crashes
 from pimentocross.owner.doubts import Doubts
 from pimentocross.owner.former_leases import FormerLeases
-from pimentocross.owner.jobs import JobBook
+from pimentocross.owner.jobs import JobRegistry
 from pimentocross.owner.keeper import Keeper
 from pimentocross.owner.late_starts import LateStarts
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.owner.ledger import Ledger
 from pimentocross.owner.listing_pace import ListingPace
 from pimentocross.owner.parts import CellParts
@@ -99,7 +99,7 @@
 
 
 def make_listed(
-    book: JobBook, runs: int
+    book: JobRegistry, runs: int
 ) -> tuple[WorkerLife, list[tuple[Task, Run]]]:
     """Returns a worker's life and running tasks of all three kinds."""
     tasks: list[Task] = []
@@ -144,9 +144,9 @@
 
 
 def make_parts(
-    book: JobBook,
+    book: JobRegistry,
     ledger: Ledger,
-    judge: Callable[[Worker, Task, Run | None, Ending], None],
+    on_ending: Callable[[Worker, Task, Run | None, Ending], None],
     listed: Callable[[Worker], None],
 ) -> CellParts:
     """Returns what the parts of an owner of one worker share."""
@@ -159,7 +159,7 @@
         book,
         ledger,
         lambda: None,
-        judge,
+        on_ending,
         listed,
         Crashes(book, lambda: (), Doubts(ledger), WorkerEnds(ledger)),
         lambda _: True,
@@ -172,7 +172,7 @@
 async def measure_taking_in(runs: int) -> tuple[float, float]:
     """Returns what decoding and taking in of an unchanged listing cost."""
     ledger = Ledger(StoreStandin().client("a"), "jobs", "owner", 1)
-    book = JobBook(ledger, _KEPT)
+    book = JobRegistry(ledger, _KEPT)
     life, tasks = make_listed(book, runs)
     body = body_of(tasks)
     decoding = _time_of(lambda: read_hold(body))
@@ -180,8 +180,8 @@
     worker = Worker(life, 0, link)  # type: ignore[arg-type]
     for task, run in tasks:
         worker.add(task, run)
-    learned = Learned()
-    parts = make_parts(book, ledger, learned.judge, learned.on_listed)
+    learned = LearnedEstimates()
+    parts = make_parts(book, ledger, learned.on_ending, learned.on_listed)
     began = time.thread_time()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(Keeper(worker, parts, _NoStops()).run)
@@ -255,7 +255,7 @@
 def measure_records(spec: JobSpec) -> tuple[float, float]:
     """Returns what an end of one of a job's tasks costs, and its record."""
     ledger = Ledger(StoreStandin().client("a"), "jobs", "owner", 1)
-    book = JobBook(ledger, _KEPT)
+    book = JobRegistry(ledger, _KEPT)
     job = Job("fill-5c0e7a21d94b36f8", QUEUE, spec, 0.0)
     book.restore(job)
     for task in job.tasks():
@@ -292,5 +292,5 @@
 
 
 async def _call_of(ledger: Ledger, runs: int) -> float:
-    _, tasks = make_listed(JobBook(ledger, _KEPT), runs)
+    _, tasks = make_listed(JobRegistry(ledger, _KEPT), runs)
     return min([await measure_hold(body_of(tasks)) for _ in range(_ROUNDS)])
--- a/pimentocross/gateway/caller_desk.py
+++ b/pimentocross/gateway/caller_desk.py
@@ -21,7 +21,7 @@
 from pimentocross.links.peer import PeerUnreachableError
 from pimentocross.observe.decisions import note
 from pimentocross.observe.histograms import Histograms, Label
-from pimentocross.owner.desk import Outcome
+from pimentocross.owner.job_api import Outcome
 from pimentocross.work.queue import Queue, WorkConfig
 from pimentocross.work.spec import JobSpec
 from pimentocross.work.state import JobState
--- a/pimentocross/gateway/election.py
+++ b/pimentocross/gateway/election.py
@@ -245,7 +245,7 @@
     def _find_stronger(self, owner: Owner) -> str:
         """Returns a VM to which the cell should be handed now, or ""."""
         now = trio.current_time()
-        if not owner.settled.is_set() or owner.ledger.away:
+        if not owner.settled.is_set() or owner.ledger.store_away:
             return ""
         if now - self._owned_since < const.HAND_OVER_AFTER:
             return ""
--- a/pimentocross/gateway/hand_over.py
+++ b/pimentocross/gateway/hand_over.py
@@ -21,7 +21,7 @@
 from pimentocross.links.greeting import PeerIdentity
 from pimentocross.links.peer import PeerLink, PeerUnreachableError, StreamDialer
 from pimentocross.observe.decisions import note
-from pimentocross.owner.desk import Outcome
+from pimentocross.owner.job_api import Outcome
 
 # Another VM answers within this, seconds: one append, and the way there.
 _ASK_TIMEOUT: Final = 0.6
--- a/pimentocross/gateway/intake.py
+++ b/pimentocross/gateway/intake.py
@@ -27,8 +27,8 @@
 from pimentocross.observe import meters
 from pimentocross.observe.decisions import note
 from pimentocross.owner import wall
-from pimentocross.owner.desk import Outcome
 from pimentocross.owner.intake import cancel_key, submission_key
+from pimentocross.owner.job_api import Outcome
 from pimentocross.work import records
 from pimentocross.work.queue import Queue
 from pimentocross.work.state import JobState
--- a/pimentocross/gateway/messages.py
+++ b/pimentocross/gateway/messages.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple, TypeAlias
 
 from pimentocross.codec import MessageTags
-from pimentocross.owner.desk import JobReply, Outcome
+from pimentocross.owner.job_api import JobReply, Outcome
 from pimentocross.work.queue import Queue
 from pimentocross.work.spec import JobSpec
 from pimentocross.work.state import JobState
--- a/pimentocross/gateway/node.py
+++ b/pimentocross/gateway/node.py
@@ -41,7 +41,7 @@
 )
 from pimentocross.observe.decisions import note, write_lines
 from pimentocross.observe.late_log import LateLog
-from pimentocross.owner.desk import JobReply, Outcome
+from pimentocross.owner.job_api import JobReply, Outcome
 from pimentocross.owner.owner import CellPlatform, Owner
 from pimentocross.work.queue import Queue, WorkConfig
 from pimentocross.work.spec import JobSpec
@@ -97,7 +97,7 @@
             Neighbours(self._mine, self._other_vms, dial_tcp),
         )
         self._takes_in = settings.switches.is_on(Part.INTAKE)
-        self.desk = CallerDesk(
+        self.job_api = CallerDesk(
             self._configs, self._intake if self._takes_in else self
         )
         self._stop = trio.Event()
@@ -161,7 +161,7 @@
         began = trio.current_time()
         grace = self._settings.grace
         note("stop", in_flight=callers.in_flight, grace=grace)
-        self.desk.draining = True
+        self.job_api.draining = True
         self._election.leave()
         callers.drain()
         await trio.sleep(min(const.DRAIN_NOTICE, grace / 2))
@@ -265,18 +265,18 @@
         match message:
             case SubmitJob(job, queue, spec):
                 known: Queue | None = queue
-                if not owner.desk.knows(job):
+                if not owner.job_api.knows(job):
                     known = await self._configs.in_force(queue)
                 if known is None:
                     return NotOwner("the queue is not in force")
                 return job_answer(await _submit(owner, job, known, spec))
             case AskState(job):
-                await owner.learn_of(job)
-                return job_answer(owner.desk.state(job))
+                await owner.ensure_known(job)
+                return job_answer(owner.job_api.state(job))
             case CancelJob(job):
                 return job_answer(await owner.cancel(job))
             case AskPending(queue):
-                return PendingAnswer(owner.desk.pending(queue))
+                return PendingAnswer(owner.job_api.pending(queue))
             case _:
                 return NotOwner("not a question")
 
@@ -284,10 +284,10 @@
 async def _submit(
     owner: Owner, job: str, queue: Queue, spec: JobSpec
 ) -> JobReply:
-    reply = await owner.desk.submit(job, queue, spec)
+    reply = await owner.job_api.submit(job, queue, spec)
     if reply.outcome is Outcome.FULL:
         # A refusal is only true if no VM has taken the job in before.
-        await owner.learn_of(job)
-        if owner.desk.knows(job):
-            reply = await owner.desk.submit(job, queue, spec)
+        await owner.ensure_known(job)
+        if owner.job_api.knows(job):
+            reply = await owner.job_api.submit(job, queue, spec)
     return reply
--- a/pimentocross/owner/admission.py
+++ b/pimentocross/owner/admission.py
@@ -12,8 +12,8 @@
 from pimentocross.observe import meters
 from pimentocross.observe.decisions import note
 from pimentocross.owner import wall
-from pimentocross.owner.backlog import Account, Backlog
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.backlog import Backlog, CapacityPool
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.placement.forecast import Load, is_too_late, retry_after
 from pimentocross.placement.urgency import objective, urgency
 from pimentocross.work.queue import Queue
@@ -33,7 +33,7 @@
     def __init__(
         self,
         backlog: Backlog,
-        learned: Learned,
+        learned: LearnedEstimates,
         settled_for: Callable[[], float],
         *,
         refuses: bool = True,
@@ -61,7 +61,7 @@
             return 0.0
         if not _has_objective(queue, spec):
             return 0.0
-        account = Account(queue.service, spec.steps[0].fills)
+        account = CapacityPool(queue.service, spec.steps[0].fills)
         if not self._backlog.work(account):
             return 0.0
         load = self._load(account, Job(job_id, queue, spec, wall.now()))
@@ -84,10 +84,10 @@
         return seconds
 
     def _is_sure(self) -> bool:
-        age = trio.current_time() - self._backlog.looked_at
+        age = trio.current_time() - self._backlog.refreshed_at
         return age <= _FRESH and self._settled_for() >= _SETTLED_FOR
 
-    def _load(self, account: Account, job: Job) -> Load | None:
+    def _load(self, account: CapacityPool, job: Job) -> Load | None:
         """Returns what a job would wait for in vain, None if it may not."""
         now = trio.current_time()
         rate = self._learned.finished_cores(account, now)
--- a/pimentocross/owner/advice.py
+++ b/pimentocross/owner/advice.py
@@ -49,7 +49,7 @@
         self.asked: set[str] = set()
 
 
-class AdviceDesk:
+class TicketCache:
     """Keeps tickets by step and asks for those that are wanted."""
 
     def __init__(
@@ -73,7 +73,7 @@
             if ticket.holds
         }
 
-    def want(self, step: Step, workers: Sequence[str]) -> None:
+    def request_tickets(self, step: Step, workers: Sequence[str]) -> None:
         """Asks for tickets for a step on some of these workers.
 
         Args:
@@ -85,7 +85,7 @@
         self._wanted.setdefault(step, list(workers))
         self._changed.set()
 
-    def is_asked(self, step: Step) -> bool:
+    def needs_no_request(self, step: Step) -> bool:
         """True if to want tickets for a step would change nothing."""
         return self._adviser is None or step in self._wanted
 
--- a/pimentocross/owner/arranger.py
+++ b/pimentocross/owner/arranger.py
@@ -5,7 +5,7 @@
 from typing import Final, NamedTuple
 
 from pimentocross.observe.decisions import note
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.owner.orders import Orders
 from pimentocross.owner.worker import Worker
 from pimentocross.placement.demand import Demand
@@ -44,7 +44,7 @@
         view: What placing goes by, as of the last pass.
     """
 
-    def __init__(self, learned: Learned) -> None:
+    def __init__(self, learned: LearnedEstimates) -> None:
         """Takes what was learned of images."""
         self.view = unconstrained_context(learned.disturbance)
         self._disturbance = learned.disturbance
--- a/pimentocross/owner/backlog.py
+++ b/pimentocross/owner/backlog.py
@@ -44,10 +44,10 @@
 # A queue's mean work is that of about so many jobs.
 _MEAN_OF: Final = 20
 # Thousandths of a core in a core.
-CORE: Final = 1000.0
+MILLICORES_PER_CORE: Final = 1000.0
 
 
-class Account(NamedTuple):
+class CapacityPool(NamedTuple):
     """Names the room that work waits for.
 
     Attributes:
@@ -59,10 +59,10 @@
     fills: bool
 
 
-class Room(NamedTuple):
+class PoolCapacity(NamedTuple):
     """Cores that work of an account has: all, and those that are free."""
 
-    whole: float
+    total: float
     free: float
 
 
@@ -84,27 +84,27 @@
     def __init__(self, durations: Durations, *, puts_back: bool = True) -> None:
         """Takes how long tasks take, and whether any job is put back."""
         self._puts_back = puts_back
-        self.looked_at = float("-inf")
-        self.rooms: dict[Account, Room] = {}
+        self.refreshed_at = float("-inf")
+        self.capacities: dict[CapacityPool, PoolCapacity] = {}
         self._durations = durations
         # Work of whole jobs, and the mean of it by queue, core-seconds.
         self._works: WeakKeyDictionary[Occurrence, float] = WeakKeyDictionary()
         self._means: dict[str, float] = {}
         self._jobs_seen: Counter[str] = Counter()
-        self._recent: dict[Account, RecentCapacity] = defaultdict(
+        self._recent: dict[CapacityPool, RecentCapacity] = defaultdict(
             RecentCapacity
         )
-        self._entries: dict[Account, list[_Entry]] = {}
+        self._entries: dict[CapacityPool, list[_Entry]] = {}
         # Core-seconds of those.
-        self._totals: dict[Account, float] = {}
+        self._totals: dict[CapacityPool, float] = {}
         # Priorities of which work is short of room.
-        self._short: dict[Account, set[int]] = {}
+        self._short: dict[CapacityPool, set[int]] = {}
         self._logged_at = float("-inf")
         self._counted: WeakSet[Occurrence] = WeakSet()
         # Seconds that the last look took.
         self._took = 0.0
 
-    def look(
+    def refresh(
         self,
         ranks: Iterable[tuple[Urgency, Step]],
         workers: Iterable[Worker],
@@ -120,13 +120,13 @@
                 thousandths of a core.
             now: Present time.
         """
-        if now - self.looked_at < max(_INTERVAL, _REST * self._took):
+        if now - self.refreshed_at < max(_INTERVAL, _REST * self._took):
             return
         began = trio.current_time()
-        self.looked_at = now
-        self.rooms = _rooms(workers, short_share / CORE)
-        for account, room in self.rooms.items():
-            self._recent[account].note(room.whole, now)
+        self.refreshed_at = now
+        self.capacities = _rooms(workers, short_share / MILLICORES_PER_CORE)
+        for account, room in self.capacities.items():
+            self._recent[account].note(room.total, now)
         ranks = [each for each in ranks if not each[1].spec.lasting]
         scarce = self._scarce(step for _, step in ranks)
         self._entries = self._read(ranks, scarce)
@@ -139,33 +139,36 @@
         self._log(now)
         self._took = min(trio.current_time() - began, _TOOK_MOST)
 
-    def _scarce(self, steps: Iterable[Step]) -> set[Account]:
+    def _scarce(self, steps: Iterable[Step]) -> set[CapacityPool]:
         """Returns the accounts of which more waits than there is room free."""
-        asked: dict[Account, float] = defaultdict(float)
+        asked: dict[CapacityPool, float] = defaultdict(float)
         for step in steps:
-            cores = step.waiting_count * step.spec.size.cpu / CORE
-            asked[account_of(step)] += cores
+            cores = (
+                step.waiting_count * step.spec.size.cpu / MILLICORES_PER_CORE
+            )
+            asked[capacity_pool_of(step)] += cores
         return {
             account
             for account, cores in asked.items()
-            if account in self.rooms and cores > self.rooms[account].free
+            if account in self.capacities
+            and cores > self.capacities[account].free
         }
 
     def _read(
-        self, ranks: Iterable[tuple[Urgency, Step]], scarce: set[Account]
-    ) -> dict[Account, list[_Entry]]:
+        self, ranks: Iterable[tuple[Urgency, Step]], scarce: set[CapacityPool]
+    ) -> dict[CapacityPool, list[_Entry]]:
         """Returns the jobs that wait for room that is scarce."""
-        entries: dict[Account, list[_Entry]] = defaultdict(list)
+        entries: dict[CapacityPool, list[_Entry]] = defaultdict(list)
         seen: set[Occurrence] = set()
         for rank, step in ranks:
-            account = account_of(step)
+            account = capacity_pool_of(step)
             if account in scarce and step.occurrence not in seen:
                 seen.add(step.occurrence)
                 entry = _Entry(self._waiting(rank, step), step)
                 entries[account].append(entry)
         return entries
 
-    def _find_all_short(self) -> dict[Account, set[int]]:
+    def _find_all_short(self) -> dict[CapacityPool, set[int]]:
         return {
             account: short
             for account, entries in self._entries.items()
@@ -173,16 +176,16 @@
         }
 
     def _find_short(
-        self, account: Account, entries: Iterable[_Entry]
+        self, account: CapacityPool, entries: Iterable[_Entry]
     ) -> set[int]:
         waiting = [entry.waiting for entry in entries]
-        return overloaded_priorities(waiting, self.rooms[account].whole)
+        return overloaded_priorities(waiting, self.capacities[account].total)
 
     def order(self, rank: Urgency, step: Step) -> Order:
         """Returns where a step goes."""
         if rank.chance is not DeadlineClass.COMFORTABLE or not self._short:
             return order_of(rank)
-        short = self._short.get(account_of(step), ())
+        short = self._short.get(capacity_pool_of(step), ())
         if rank.priority not in short:
             return order_of(rank)
         return order_of(rank, self.cost_ratio(step))
@@ -209,7 +212,7 @@
         self._means[queue] = mean + share * (work - mean)
         return work
 
-    def work_before(self, account: Account, order: Order) -> float:
+    def work_before(self, account: CapacityPool, order: Order) -> float:
         """Returns the core-seconds that wait for a room and go first."""
         return sum(
             entry.waiting.work
@@ -217,11 +220,11 @@
             if self.order(entry.waiting.rank, entry.step) < order
         )
 
-    def work(self, account: Account) -> float:
+    def work(self, account: CapacityPool) -> float:
         """Returns the core-seconds that wait for a room if it is scarce."""
         return self._totals.get(account, 0.0)
 
-    def recent_room(self, account: Account, now: float) -> float:
+    def recent_room(self, account: CapacityPool, now: float) -> float:
         """Returns the most cores there were lately."""
         recent = self._recent.get(account)
         return recent.most(now) if recent is not None else 0.0
@@ -250,7 +253,7 @@
             return 0.0
         queue = step.job.queue.name
         duration = self._durations.task(queue, step.spec)
-        return tasks * step.spec.size.cpu / CORE * duration
+        return tasks * step.spec.size.cpu / MILLICORES_PER_CORE * duration
 
     def _count(self, step: Step) -> None:
         """Counts a job that is put back, once."""
@@ -280,40 +283,40 @@
                 jobs=len(entries),
                 put_back=len(put_back),
                 work=round(self._totals[account]),
-                room=round(self.rooms[account].whole),
-                free=round(self.rooms[account].free),
+                room=round(self.capacities[account].total),
+                free=round(self.capacities[account].free),
             )
 
 
-def account_of(step: Step) -> Account:
+def capacity_pool_of(step: Step) -> CapacityPool:
     """Returns which room a step waits for."""
-    return Account(step.job.queue.service, step.spec.fills)
+    return CapacityPool(step.job.queue.service, step.spec.fills)
 
 
 def _rooms(
     workers: Iterable[Worker], short_share: float
-) -> dict[Account, Room]:
+) -> dict[CapacityPool, PoolCapacity]:
     """Returns the room of each account.
 
     Work that fills has what it uses and what is left over; work that reserves
     what it has, what is free and what others would give up for it.
     """
-    taken: dict[Account, float] = defaultdict(float)
-    free: dict[Account, float] = defaultdict(float)
+    taken: dict[CapacityPool, float] = defaultdict(float)
+    free: dict[CapacityPool, float] = defaultdict(float)
     for worker in workers:
-        fills = Account(worker.life.service, fills=True)
-        reserves = Account(worker.life.service, fills=False)
-        taken[fills] += _used_by_fillers(worker) / CORE
-        free[fills] += max(left_over(worker), 0) / CORE
-        taken[reserves] += _reserved_briefly(worker) / CORE
-        free[reserves] += max(worker.free.cpu, 0) / CORE
-    rooms = {}
+        fills = CapacityPool(worker.life.service, fills=True)
+        reserves = CapacityPool(worker.life.service, fills=False)
+        taken[fills] += _used_by_fillers(worker) / MILLICORES_PER_CORE
+        free[fills] += max(left_over(worker), 0) / MILLICORES_PER_CORE
+        taken[reserves] += _reserved_briefly(worker) / MILLICORES_PER_CORE
+        free[reserves] += max(worker.free.cpu, 0) / MILLICORES_PER_CORE
+    capacities = {}
     for account, cores in free.items():
-        whole = taken[account] + cores
+        total = taken[account] + cores
         if not account.fills:
-            whole = max(whole, short_share)
-        rooms[account] = Room(whole, cores)
-    return rooms
+            total = max(total, short_share)
+        capacities[account] = PoolCapacity(total, cores)
+    return capacities
 
 
 def _used_by_fillers(worker: Worker) -> int:
--- a/pimentocross/owner/care.py
+++ b/pimentocross/owner/care.py
@@ -6,7 +6,7 @@
 import trio
 
 from pimentocross.owner import const
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.owner.orders import Orders
 from pimentocross.owner.roster import Roster
 from pimentocross.owner.worker import AT_WORK, Worker
@@ -47,7 +47,7 @@
     about, and what other workers teach of pairs, waits that long.
     """
 
-    def __init__(self, roster: Roster, learned: Learned) -> None:
+    def __init__(self, roster: Roster, learned: LearnedEstimates) -> None:
         """Takes the workers and what was learned."""
         self._roster = roster
         self._learned = learned
@@ -110,7 +110,7 @@
             task.failed_on.add(worker.number)
             return "the worker is unsound"
         if worker.reached and is_stalled(task, run, worker.heard_at):
-            self._learned.hold_against(worker, task)
+            self._learned.record_failure(worker, task)
             task.failed_on.add(worker.number)
             return "no progress"
         return ""
--- a/pimentocross/owner/copier.py
+++ b/pimentocross/owner/copier.py
@@ -14,8 +14,8 @@
 from pimentocross.observe.decisions import note
 from pimentocross.owner import wall
 from pimentocross.owner.arranger import Arranger
-from pimentocross.owner.jobs import JobBook
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.jobs import JobRegistry
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.owner.orders import Placement
 from pimentocross.owner.room import RoomKeeper
 from pimentocross.owner.worker import Worker
@@ -60,8 +60,8 @@
 
     def __init__(
         self,
-        book: JobBook,
-        learned: Learned,
+        book: JobRegistry,
+        learned: LearnedEstimates,
         arranger: Arranger,
         room: RoomKeeper,
     ) -> None:
@@ -157,7 +157,7 @@
                 del self._pairs[task]
 
     def _lagging(self, now: float) -> Iterator[_Lagging]:
-        for step in self._book.steps_at_work():
+        for step in self._book.active_steps():
             if not _may_have_copies(step):
                 continue
             if not self._learned.durations.has_stragglers(step.job.queue.name):
@@ -191,7 +191,7 @@
         return self._learned.durations.duration_from_ended_tasks(step)
 
     def _free_room(self, sound: Sequence[Worker], now: float) -> CopyBudget:
-        waiting = self._book.open_steps(wall.now())
+        waiting = self._book.ready_steps(wall.now())
         spare = self._room.spare(sound, waiting, now) - sum(
             step.waiting_count * step.spec.committed.cpu for step in waiting
         )
--- a/pimentocross/owner/crashes.py
+++ b/pimentocross/owner/crashes.py
@@ -10,7 +10,7 @@
 from pimentocross.contracts.worker_link import WorkerLife
 from pimentocross.observe.decisions import note
 from pimentocross.owner.doubts import Doubts
-from pimentocross.owner.jobs import JobBook
+from pimentocross.owner.jobs import JobRegistry
 from pimentocross.owner.life_numbers import KnownLife
 from pimentocross.owner.worker import RunKey, Worker
 from pimentocross.owner.worker_ends import WorkerEnd, WorkerEnds
@@ -47,7 +47,7 @@
 
     def __init__(
         self,
-        book: JobBook,
+        book: JobRegistry,
         workers: Callable[[], Iterable[Worker]],
         doubts: Doubts,
         ends: WorkerEnds,
@@ -200,7 +200,7 @@
         """Clears a task of which a run ended in another way than by a crash."""
         if run is not None and task.crash_history.crashes:
             task.crash_history = NO_CRASHES
-            self._book.note_crashes(task.step.job)
+            self._book.record_crashes(task.step.job)
 
     def note_listed_runs(self, worker: Worker) -> None:
         """Clears tasks whose runs live, and lets others start beside them.
@@ -213,7 +213,7 @@
                 worker.lived(run), lasting=task.step.spec.lasting
             )
             if task.crash_history is not former:
-                self._book.note_crashes(task.step.job)
+                self._book.record_crashes(task.step.job)
             if not task.crash_history.crashes:
                 worker.suspects.discard((task, number))
         worker.end_isolation()
@@ -308,7 +308,7 @@
             )
             if task.crash_history is former:
                 continue
-            self._book.note_crashes(job)
+            self._book.record_crashes(job)
             note(
                 "task_crashed",
                 task=task.name,
--- a/pimentocross/owner/dispatcher.py
+++ b/pimentocross/owner/dispatcher.py
@@ -12,14 +12,14 @@
 from pimentocross.observe import meters
 from pimentocross.observe.decisions import note
 from pimentocross.owner import const, wall
-from pimentocross.owner.advice import AdviceDesk
+from pimentocross.owner.advice import TicketCache
 from pimentocross.owner.arranger import Arranger
 from pimentocross.owner.backlog import Backlog
 from pimentocross.owner.care import Care
 from pimentocross.owner.copier import Copier
 from pimentocross.owner.isolation import Isolation
-from pimentocross.owner.jobs import JobBook
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.jobs import JobRegistry
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.owner.ledger import Batch
 from pimentocross.owner.load_log import LoadLog
 from pimentocross.owner.orders import Orders, Placement
@@ -72,9 +72,9 @@
 
     def __init__(
         self,
-        book: JobBook,
+        book: JobRegistry,
         roster: Roster,
-        learned: Learned,
+        learned: LearnedEstimates,
         config: Callable[[], WorkConfig],
         adviser: Adviser | None,
         switches: Switches = ALL_ON,
@@ -89,7 +89,7 @@
             adviser: Knows who may run some steps, if there is one.
             switches: Parts that are switched off.
         """
-        self.advice = AdviceDesk(adviser, self.wake)
+        self.advice = TicketCache(adviser, self.wake)
         self.backlog = Backlog(
             learned.durations, puts_back=switches.is_on(Part.TRIAGE)
         )
@@ -139,11 +139,11 @@
             self._start_copies(orders)
         self._log_load()
 
-    def judge(
+    def on_ending(
         self, worker: Worker, task: Task, run: Run | None, ending: Ending
     ) -> None:
         """Learns from an ending that was taken in."""
-        self._learned.judge(worker, task, run, ending)
+        self._learned.on_ending(worker, task, run, ending)
         self._copier.note_ended(task, run, ending)
 
     def forget_life(self, life: str) -> None:
@@ -173,9 +173,9 @@
     def _start_waiting(self, orders: Orders) -> None:
         """Places what waits, the most urgent first, and makes room for it."""
         now, today = trio.current_time(), wall.now()
-        steps = self._book.open_steps(today)
+        steps = self._book.ready_steps(today)
         if not steps:
-            self.backlog.look((), (), 0.0, now)
+            self.backlog.refresh((), (), 0.0, now)
             return
         usable = self._roster.usable()
         sound = self._sound(usable, now)
@@ -248,7 +248,7 @@
     ) -> list[_Ranked]:
         """Returns steps in the order in which they are started."""
         ranks = [(self._rank(step, now, today), step) for step in steps]
-        self.backlog.look(ranks, workers, self._room.share, now)
+        self.backlog.refresh(ranks, workers, self._room.share, now)
         return sorted(
             _Ranked(self.backlog.order(rank, step), number, step)
             for number, (rank, step) in enumerate(ranks)
@@ -272,7 +272,7 @@
     def _log_load(self) -> None:
         now = trio.current_time()
         if self._load_log.is_due(now):
-            steps = self._book.open_steps(wall.now())
+            steps = self._book.ready_steps(wall.now())
             self._load_log.write(
                 self._roster.usable(),
                 self._roster.closed_capacity(),
--- a/pimentocross/owner/doubts.py
+++ b/pimentocross/owner/doubts.py
@@ -11,7 +11,7 @@
 import trio
 
 from pimentocross.contracts.worker_link import WorkerLife
-from pimentocross.owner.ledger import Ledger, PlainRecord
+from pimentocross.owner.ledger import LazyRecord, Ledger
 from pimentocross.owner.life_numbers import KnownLife
 from pimentocross.work import records
 from pimentocross.work.crash_history import HELD_MOST
@@ -85,7 +85,7 @@
 
     def _put(self, life: str, doubt: _Doubt | None) -> None:
         self._ledger.put(
-            PlainRecord(
+            LazyRecord(
                 records.DOUBTS + life,
                 lambda: None if doubt is None else doubt.encode(),
             )
--- a/pimentocross/owner/former_leases.py
+++ b/pimentocross/owner/former_leases.py
@@ -15,7 +15,7 @@
 import trio
 
 from pimentocross.observe.decisions import note
-from pimentocross.owner.ledger import Ledger, PlainRecord
+from pimentocross.owner.ledger import LazyRecord, Ledger
 from pimentocross.owner.terms import OwnerTerms
 from pimentocross.owner.worker import Worker
 from pimentocross.work import records
@@ -70,7 +70,7 @@
         # Until when leases of each predecessor may last, monotonic, by epoch.
         self._until: dict[int, float] = {}
         self._list_rows: Callable[[], Iterable[LeaseRow]] = tuple
-        self._record = PlainRecord(records.LEASES, self._encode)
+        self._record = LazyRecord(records.LEASES, self._encode)
         self._has_told_rows = False
 
     def restore(self, value: bytes) -> None:
--- a/pimentocross/owner/intake.py
+++ b/pimentocross/owner/intake.py
@@ -19,7 +19,7 @@
 from pimentocross.observe import meters
 from pimentocross.observe.decisions import note
 from pimentocross.owner import const
-from pimentocross.owner.jobs import JobBook
+from pimentocross.owner.jobs import JobRegistry
 from pimentocross.owner.ledger import Batch, Ledger
 from pimentocross.work import records
 from pimentocross.work.queue import WorkConfig
@@ -56,7 +56,7 @@
     def __init__(
         self,
         store: Store,
-        book: JobBook,
+        registry: JobRegistry,
         ledger: Ledger,
         wake: Callable[[], None],
         config: Callable[[], WorkConfig],
@@ -65,14 +65,14 @@
 
         Args:
             store: The store.
-            book: The owner's jobs.
+            registry: The owner's jobs.
             ledger: Where they are recorded.
             wake: Has decisions made once there is more to decide.
             config: Returns the configuration in force.
         """
         self._config = config
         self._store = store
-        self._book = book
+        self._registry = registry
         self._ledger = ledger
         self._wake = wake
         self._reader = TopicReader(store, TOPIC)
@@ -161,7 +161,7 @@
         Raises:
             RecordError: It can't be read.
         """
-        if self._book.find(job_id) is not None:
+        if self._registry.find(job_id) is not None:
             return None
         job = records.decode_submission(job_id, value)
         # Its VM may have known an older or a newer form of the queue.
@@ -169,16 +169,16 @@
         note("job_taken_up", job=job_id, queue=job.queue.name)
         meters.add_taken_up("submission")
         self._wake()
-        return self._book.take_in(job)
+        return self._registry.take_in(job)
 
     def _take_cancel(self, job_id: str) -> Batch | None:
-        job = self._book.find(job_id)
+        job = self._registry.find(job_id)
         if job is None or job.ended:
             return None
         note("job_cancelled", job=job_id, state=job.state.value)
         meters.add_taken_up("cancel")
         self._wake()
-        return self._book.cancel(job)
+        return self._registry.cancel(job)
 
     async def _remove(self) -> None:
         """Removes what was taken up, once that is recorded."""
--- a/pimentocross/owner/desk.py
+++ b/pimentocross/owner/job_api.py
@@ -9,7 +9,7 @@
 from pimentocross.observe.decisions import note
 from pimentocross.owner import const
 from pimentocross.owner.admission import Admission
-from pimentocross.owner.jobs import JobBook, shown_state
+from pimentocross.owner.jobs import JobRegistry, shown_state
 from pimentocross.owner.ledger import Batch, Ledger
 from pimentocross.work.queue import Queue
 from pimentocross.work.spec import JobSpec
@@ -45,12 +45,12 @@
     retry_after: float = 0.0
 
 
-class Desk:
+class JobApi:
     """Takes jobs in, cancels them and tells how they stand."""
 
     def __init__(
         self,
-        book: JobBook,
+        registry: JobRegistry,
         ledger: Ledger,
         wake: Callable[[], None],
         admission: Admission,
@@ -59,7 +59,7 @@
         """Takes the jobs and where they are recorded.
 
         Args:
-            book: The jobs.
+            registry: The jobs.
             ledger: Where they are recorded.
             wake: Has decisions made once there is more to decide.
             admission: Refuses what surely can't be of use.
@@ -67,7 +67,7 @@
                 elsewhere and that callers may ask for by now.
         """
         self._knows_all = knows_all
-        self._book = book
+        self._registry = registry
         self._ledger = ledger
         self._wake = wake
         self._admission = admission
@@ -83,14 +83,14 @@
         the caller is told so well before it gives up.
         """
         self._forget_stored()
-        if self._book.find(job_id) is None:
-            if self._ledger.away:
+        if self._registry.find(job_id) is None:
+            if self._ledger.store_away:
                 note("job_refused", job=job_id, reason="store away")
                 return JobReply(Outcome.STORE_AWAY)
             wait = self._admission.refuse_for(job_id, queue, spec)
             if wait:
                 return JobReply(Outcome.FULL, retry_after=wait)
-            self._storing[job_id] = self._book.accept(job_id, queue, spec)
+            self._storing[job_id] = self._registry.accept(job_id, queue, spec)
             self._wake()
         batch = self._storing.get(job_id)
         if batch is not None and not await self._is_stored(batch):
@@ -101,21 +101,21 @@
 
     def knows(self, job_id: str) -> bool:
         """True if a job was taken in, or may have been."""
-        return self._book.find(job_id) is not None
+        return self._registry.find(job_id) is not None
 
     def state(self, job_id: str) -> JobReply:
         """Returns a job's state."""
-        job = self._book.find(job_id)
+        job = self._registry.find(job_id)
         if job is not None:
             return JobReply(Outcome.OK, shown_state(job))
         return self._unknown()
 
     async def cancel(self, job_id: str) -> JobReply:
         """Cancels a job and returns once that is recorded."""
-        job = self._book.find(job_id)
+        job = self._registry.find(job_id)
         if job is None:
             return self._unknown()
-        batch = self._book.cancel(job)
+        batch = self._registry.cancel(job)
         self._wake()
         if not await self._is_stored(batch):
             note("cancel_unsure", job=job_id, store_age=self._ledger.age())
@@ -127,14 +127,14 @@
         """Returns how many jobs of a queue wait, or None if unsure."""
         if self._ledger.age() > const.CURRENT_WITHIN:
             return None
-        return self._book.pending(queue)
+        return self._registry.pending(queue)
 
     async def _is_stored(self, batch: Batch) -> bool:
         """Waits for a batch; False if the store is away for too long."""
         asked_at = trio.current_time()
         while not batch.stored.is_set():
             waited = trio.current_time() - asked_at
-            if self._ledger.away and waited >= const.UNSURE_AFTER:
+            if self._ledger.store_away and waited >= const.UNSURE_AFTER:
                 return False
             with trio.move_on_after(const.AWAY_LOOK):
                 await batch.stored.wait()
--- a/pimentocross/owner/jobs.py
+++ b/pimentocross/owner/jobs.py
@@ -4,7 +4,7 @@
 
 from pimentocross.observe.decisions import note
 from pimentocross.owner import wall
-from pimentocross.owner.ledger import Batch, Ledger, PlainRecord
+from pimentocross.owner.ledger import Batch, LazyRecord, Ledger
 from pimentocross.work import records
 from pimentocross.work.queue import Queue, WorkConfig
 from pimentocross.work.spec import JobSpec, TaskName
@@ -37,7 +37,7 @@
         self._job.recorded_state = self._encoded_state
 
 
-class JobBook:
+class JobRegistry:
     """Jobs by id; every change goes to the ledger."""
 
     def __init__(self, ledger: Ledger, ended_kept: float) -> None:
@@ -86,7 +86,7 @@
         """Takes in a job that was accepted; returns its record's batch."""
         self.restore(job)
         return self._ledger.put(
-            PlainRecord(
+            LazyRecord(
                 records.SUBMISSION + job.id,
                 lambda: records.encode_submission(job),
             )
@@ -121,10 +121,10 @@
                 self._open_turns(step.occurrence)
         return self._ledger.put(_Progress(job))
 
-    def note_crashes(self, job: Job) -> None:
+    def record_crashes(self, job: Job) -> None:
         """Has the crashes under a job's tasks recorded."""
         self._ledger.put(
-            PlainRecord(
+            LazyRecord(
                 records.CRASHES + job.id,
                 lambda: records.encode_crashes(job),
             )
@@ -135,7 +135,7 @@
         job.cancel(wall.now())
         return self.changed(job)
 
-    def open_steps(self, today: float) -> list[Step]:
+    def ready_steps(self, today: float) -> list[Step]:
         """Returns the steps whose turn has come and of which tasks wait."""
         return [
             step
@@ -143,7 +143,7 @@
             if step.waiting_count and step.occurrence.due <= today
         ]
 
-    def steps_at_work(self) -> Iterator[Step]:
+    def active_steps(self) -> Iterator[Step]:
         """Yields the steps whose turn has come and that aren't done."""
         yield from self._open_steps
 
@@ -178,7 +178,7 @@
                 continue
             del self._jobs[job.id]
             for prefix in _prefixes(job):
-                self._ledger.put(PlainRecord(prefix + job.id, _nothing))
+                self._ledger.put(LazyRecord(prefix + job.id, _nothing))
             job.take_apart()
 
     def _open_turns(self, occurrence: Occurrence) -> None:
--- a/pimentocross/owner/late_starts.py
+++ b/pimentocross/owner/late_starts.py
@@ -19,8 +19,8 @@
 from pimentocross.observe.decisions import note
 from pimentocross.owner import const
 from pimentocross.owner.endings import drop_run
-from pimentocross.owner.jobs import JobBook
-from pimentocross.owner.ledger import Ledger, PlainRecord
+from pimentocross.owner.jobs import JobRegistry
+from pimentocross.owner.ledger import LazyRecord, Ledger
 from pimentocross.owner.repeats import Repeats
 from pimentocross.owner.worker import RunKey, Worker
 from pimentocross.work import records
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        book: JobBook,
+        book: JobRegistry,
         ledger: Ledger,
         wake: Callable[[], None],
         repeats: Repeats,
@@ -74,7 +74,7 @@
         self._book = book
         self._wake = wake
         self._ledger = ledger
-        self._record = PlainRecord(records.LATE_STARTS, self._encode)
+        self._record = LazyRecord(records.LATE_STARTS, self._encode)
         # Runs whose starts may be carried out yet, and some that are settled.
         self._open: dict[RunKey, Run] = {}
         # What a former owner has recorded, or None if it hasn't.
@@ -85,7 +85,7 @@
     def open(self, start_soon: Callable[..., None]) -> None:
         """Takes what runs the owner's tasks, before all else."""
         self._start_soon = start_soon
-        former = PlainRecord(records.FORMER_LATE_STARTS, lambda: None)
+        former = LazyRecord(records.FORMER_LATE_STARTS, lambda: None)
         self._ledger.put_with_next(former)
 
     def restore(self, value: bytes) -> None:
--- a/pimentocross/owner/learned.py
+++ b/pimentocross/owner/learned.py
@@ -9,7 +9,11 @@
 from pimentocross.contracts.switches import ALL_ON, Part, Switches
 from pimentocross.contracts.worker_link import Ending, EndKind
 from pimentocross.observe.decisions import note
-from pimentocross.owner.backlog import CORE, Account, account_of
+from pimentocross.owner.backlog import (
+    MILLICORES_PER_CORE,
+    CapacityPool,
+    capacity_pool_of,
+)
 from pimentocross.owner.worker import Worker
 from pimentocross.placement.disturbance import Disturbance, PairEstimate
 from pimentocross.placement.durations import Durations
@@ -51,7 +55,7 @@
     is_sure: bool
 
 
-class Learned:
+class LearnedEstimates:
     """Durations, pairs that disturb, and workers to be left alone.
 
     Attributes:
@@ -66,7 +70,7 @@
         self.disturbance = Disturbance()
         self.quarantine = Quarantine(_QUARANTINE)
         self._speeds = Speeds()
-        self._finished: dict[Account, FinishRate] = defaultdict(FinishRate)
+        self._finished: dict[CapacityPool, FinishRate] = defaultdict(FinishRate)
         self._projections = Projections()
 
     def encode(self) -> bytes:
@@ -79,7 +83,7 @@
         self.disturbance.restore(pairs, trio.current_time())
         self.durations.restore(record.durations)
 
-    def judge(
+    def on_ending(
         self, worker: Worker, task: Task, run: Run | None, ending: Ending
     ) -> None:
         """Learns from an ending."""
@@ -92,19 +96,19 @@
                 took = trio.current_time() - run.decided_at
                 self._note_duration(worker, task, run, took)
         elif ending.how is EndKind.FAILED:
-            self.hold_against(worker, task)
+            self.record_failure(worker, task)
         elif not task.step.spec.lasting:
             self.quarantine.note_lost(worker.life.id)
 
-    def finished_cores(self, account: Account, now: float) -> float | None:
+    def finished_cores(self, account: CapacityPool, now: float) -> float | None:
         """Returns core-seconds that are done a second, or None if unsure."""
         rate = self._finished.get(account)
         return rate.cores(now) if rate is not None else None
 
     def _note_finished(self, step: Step) -> None:
         duration = self.durations.task(step.job.queue.name, step.spec)
-        work = step.spec.size.cpu / CORE * duration
-        rate = self._finished[account_of(step)]
+        work = step.spec.size.cpu / MILLICORES_PER_CORE * duration
+        rate = self._finished[capacity_pool_of(step)]
         rate.note(work, trio.current_time())
 
     def _note_duration(
@@ -117,7 +121,7 @@
             # What a worker in trouble adds is no tail of the queue.
             self.durations.note(task.step.job.queue.name, took)
 
-    def hold_against(self, worker: Worker, task: Task) -> None:
+    def record_failure(self, worker: Worker, task: Task) -> None:
         """Holds a failure or a standstill against a worker."""
         now = trio.current_time()
         job = task.step.job.id
--- a/pimentocross/owner/ledger.py
+++ b/pimentocross/owner/ledger.py
@@ -79,7 +79,7 @@
         self._failures = 0
 
     @property
-    def away(self) -> bool:
+    def store_away(self) -> bool:
         """True if the store has not taken an append for a while."""
         since = self._append_since
         if since is None:
@@ -221,7 +221,7 @@
     return parts
 
 
-class PlainRecord:
+class LazyRecord:
     """A key with a value made when it is written."""
 
     def __init__(
--- a/pimentocross/owner/life_numbers.py
+++ b/pimentocross/owner/life_numbers.py
@@ -4,7 +4,7 @@
 from typing import Final, NamedTuple
 
 from pimentocross.contracts.worker_link import WorkerLife
-from pimentocross.owner.ledger import Ledger, PlainRecord
+from pimentocross.owner.ledger import LazyRecord, Ledger
 from pimentocross.work import records
 from pimentocross.work.records import WorkerRecord
 
@@ -100,7 +100,7 @@
     def _put(
         self, kind: str, number: int, encode: Callable[[], bytes | None]
     ) -> None:
-        self._ledger.put(PlainRecord(kind + str(number), encode))
+        self._ledger.put(LazyRecord(kind + str(number), encode))
 
 
 def _nothing() -> None:
--- a/pimentocross/owner/lived_runs.py
+++ b/pimentocross/owner/lived_runs.py
@@ -10,7 +10,7 @@
 import trio
 
 from pimentocross.owner import const
-from pimentocross.owner.ledger import Ledger, PlainRecord
+from pimentocross.owner.ledger import LazyRecord, Ledger
 from pimentocross.owner.worker import Worker
 from pimentocross.work import records
 from pimentocross.work.records import LivedRow
@@ -26,7 +26,7 @@
         """Takes where to record, and what returns the workers in use."""
         self._ledger = ledger
         self._workers = workers
-        self._record = PlainRecord(records.LIVED, self._encode)
+        self._record = LazyRecord(records.LIVED, self._encode)
         self._former: tuple[LivedRow, ...] = ()
         self._has_told_rows = False
 
--- a/pimentocross/owner/owner.py
+++ b/pimentocross/owner/owner.py
@@ -20,15 +20,15 @@
 from pimentocross.owner.breather import Breather
 from pimentocross.owner.collector import survivors_left_out, uncollected
 from pimentocross.owner.crashes import Crashes
-from pimentocross.owner.desk import Desk, JobReply, Outcome
 from pimentocross.owner.dispatcher import Dispatcher
 from pimentocross.owner.doubts import Doubts
 from pimentocross.owner.former_leases import FormerLeases, Predecessor
 from pimentocross.owner.intake import Intake
-from pimentocross.owner.jobs import JobBook
+from pimentocross.owner.job_api import JobApi, JobReply, Outcome
+from pimentocross.owner.jobs import JobRegistry
 from pimentocross.owner.late_starts import LateStarts
-from pimentocross.owner.learned import Learned
-from pimentocross.owner.ledger import Ledger, PlainRecord
+from pimentocross.owner.learned import LearnedEstimates
+from pimentocross.owner.ledger import LazyRecord, Ledger
 from pimentocross.owner.listing_pace import ListingPace
 from pimentocross.owner.lived_runs import LivedRuns
 from pimentocross.owner.orders import Orders
@@ -106,7 +106,7 @@
         self._ledger = Ledger(
             platform.store, claim.topic, PRODUCER, claim.epoch
         )
-        self._book = JobBook(self._ledger, platform.terms.ended_kept)
+        self._registry = JobRegistry(self._ledger, platform.terms.ended_kept)
         self._former_leases = FormerLeases(
             claim.epoch,
             claim.predecessors,
@@ -122,9 +122,9 @@
             config,
             platform.zones,
         )
-        self._learned = Learned(platform.switches)
+        self._learned = LearnedEstimates(platform.switches)
         self._dispatcher = Dispatcher(
-            self._book,
+            self._registry,
             self._roster,
             self._learned,
             config,
@@ -136,7 +136,7 @@
             claim.epoch, formers[0].epoch if formers else None, self._ledger
         )
         self._late_starts = LateStarts(
-            self._book, self._ledger, self._dispatcher.wake, self._repeats
+            self._registry, self._ledger, self._dispatcher.wake, self._repeats
         )
         self._doubts = Doubts(self._ledger)
         self._ends = WorkerEnds(self._ledger)
@@ -150,13 +150,13 @@
         self._takes_up = platform.switches.is_on(Part.INTAKE)
         self._intake = Intake(
             platform.store,
-            self._book,
+            self._registry,
             self._ledger,
             self._dispatcher.wake,
             config,
         )
-        self.desk = Desk(
-            self._book,
+        self.job_api = JobApi(
+            self._registry,
             self._ledger,
             self._dispatcher.wake,
             self._admission,
@@ -238,7 +238,7 @@
             self._repeats.begin()
             self._former_leases.begin_record(self._roster.lease_rows)
             self.ready.set()
-            self._log.note("owner_ready", jobs=len(self._book))
+            self._log.note("owner_ready", jobs=len(self._registry))
             nursery.start_soon(self._decide, orders)
             if self._takes_up:
                 nursery.start_soon(self._intake.run)
@@ -262,12 +262,14 @@
             terms,
             CallPatience(self.lateness, terms.lease),
             ListingPace(self.lateness, terms.lease, self._roster.__len__),
-            self._book,
+            self._registry,
             self._ledger,
             self._dispatcher.wake,
-            self._dispatcher.judge,
+            self._dispatcher.on_ending,
             self._learned.on_listed,
-            Crashes(self._book, self._roster.workers, self._doubts, self._ends),
+            Crashes(
+                self._registry, self._roster.workers, self._doubts, self._ends
+            ),
             self._roster.may_start_on,
             self._roster,
             self._late_starts,
@@ -290,7 +292,7 @@
         """Notes that a former owner surely renews no lease any more."""
         self._roster.note_former_ended(epoch)
 
-    async def learn_of(self, job_id: str) -> bool:
+    async def ensure_known(self, job_id: str) -> bool:
         """Has a job known that an entry VM has just stored.
 
         Its caller may ask for it before it was taken up.
@@ -298,15 +300,15 @@
         Returns:
             Whether it is known now, or surely wasn't stored before.
         """
-        if not self._takes_up or self.desk.knows(job_id):
+        if not self._takes_up or self.job_api.knows(job_id):
             return True
-        return await self._intake.catch_up() or self.desk.knows(job_id)
+        return await self._intake.catch_up() or self.job_api.knows(job_id)
 
     async def cancel(self, job_id: str) -> JobReply:
         """Cancels a job, unless it may be one that isn't known here yet."""
-        if not await self.learn_of(job_id):
+        if not await self.ensure_known(job_id):
             return JobReply(Outcome.STORE_AWAY)
-        return await self.desk.cancel(job_id)
+        return await self.job_api.cancel(job_id)
 
     def release(self) -> None:
         """Has `run` return once all changes so far are stored."""
@@ -348,16 +350,16 @@
             await breather.breathe()
             _restore(job, progress.get(job.id), records.decode_progress)
             _restore(job, histories.get(job.id), records.decode_crashes)
-            self._book.restore(job)
+            self._registry.restore(job)
         self._log.note(
-            "owner_read", records=len(page.records), jobs=len(self._book)
+            "owner_read", records=len(page.records), jobs=len(self._registry)
         )
 
     async def _collect_runs(self) -> list[tuple[Task, Run]]:
         """Returns the runs that were recorded."""
         breather = Breather()
         runs = []
-        for job in self._book.jobs():
+        for job in self._registry.jobs():
             await breather.breathe()
             for task in job.tasks():
                 runs += [(task, run) for run in task.runs.values()]
@@ -394,9 +396,9 @@
     async def _sweep(self, crashes: Crashes) -> None:
         while True:
             await trio.sleep(const.SWEEP_INTERVAL)
-            self._book.sweep()
+            self._registry.sweep()
             crashes.sweep()
-            self._ledger.put(PlainRecord(records.LEARNED, self._learned.encode))
+            self._ledger.put(LazyRecord(records.LEARNED, self._learned.encode))
 
 
 def _restore(
--- a/pimentocross/owner/parts.py
+++ b/pimentocross/owner/parts.py
@@ -6,7 +6,7 @@
 from pimentocross.contracts.worker_link import Ending
 from pimentocross.owner.crashes import Crashes
 from pimentocross.owner.former_leases import FormerLeases
-from pimentocross.owner.jobs import JobBook
+from pimentocross.owner.jobs import JobRegistry
 from pimentocross.owner.late_starts import LateStarts
 from pimentocross.owner.ledger import Ledger
 from pimentocross.owner.listing_pace import ListingPace
@@ -72,7 +72,7 @@
     terms: OwnerTerms
     patience: CallPatience
     pace: ListingPace
-    book: JobBook
+    book: JobRegistry
     ledger: Ledger
     wake: Callable[[], None]
     judge: Callable[[Worker, Task, Run | None, Ending], None]
--- a/pimentocross/owner/placer.py
+++ b/pimentocross/owner/placer.py
@@ -3,10 +3,10 @@
 from collections.abc import Mapping, Sequence
 from typing import Final
 
-from pimentocross.owner.advice import AdviceDesk
+from pimentocross.owner.advice import TicketCache
 from pimentocross.owner.arranger import Arranger
 from pimentocross.owner.isolation import Isolation
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.owner.orders import Placement
 from pimentocross.owner.worker import Worker
 from pimentocross.placement.field import HostIndex, HostList, HostPool
@@ -25,9 +25,9 @@
         self,
         sound: Sequence[Worker],
         usable: Sequence[Worker],
-        learned: Learned,
+        learned: LearnedEstimates,
         arranger: Arranger,
-        advice: AdviceDesk,
+        advice: TicketCache,
         isolation: Isolation,
         now: float,
     ) -> None:
@@ -110,10 +110,10 @@
         found = [w for w in workers if w.life.id in tickets]
         room = sum(allows(w, step) for w in found)
         enough = min(step.waiting_count, _ADVISED_ENOUGH)
-        if room < enough and not self._advice.is_asked(step):
+        if room < enough and not self._advice.needs_no_request(step):
             able = [w for w in workers if allows(w, step)]
             able.sort(key=lambda w: -w.free.cpu)
-            self._advice.want(step, [w.life.id for w in able])
+            self._advice.request_tickets(step, [w.life.id for w in able])
         return found
 
     def _place_gang(
--- a/pimentocross/owner/repeats.py
+++ b/pimentocross/owner/repeats.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from pimentocross.owner.ledger import Ledger, PlainRecord
+from pimentocross.owner.ledger import LazyRecord, Ledger
 from pimentocross.owner.worker import RunKey
 from pimentocross.work import records
 from pimentocross.work.records import RepeatsRecord
@@ -28,7 +28,7 @@
         self._epoch = epoch
         self._former_epoch = former_epoch
         self._ledger = ledger
-        self._record = PlainRecord(records.REPEATS, self._encode)
+        self._record = LazyRecord(records.REPEATS, self._encode)
         self._former: RepeatsRecord | None = None
         self._runs: dict[RunKey, Run] = {}
         self._stored: dict[RunKey, trio.Event] = {}
--- a/pimentocross/owner/worker_ends.py
+++ b/pimentocross/owner/worker_ends.py
@@ -10,7 +10,7 @@
 import trio
 
 from pimentocross.owner import wall
-from pimentocross.owner.ledger import Ledger, PlainRecord
+from pimentocross.owner.ledger import LazyRecord, Ledger
 from pimentocross.work import records
 from pimentocross.work.crash_history import OUTAGE_SPAN
 from pimentocross.work.records import EndRow
@@ -39,7 +39,7 @@
     def __init__(self, ledger: Ledger) -> None:
         """Takes where they are recorded."""
         self._ledger = ledger
-        self._record = PlainRecord(records.ENDS, self._encode)
+        self._record = LazyRecord(records.ENDS, self._encode)
         self._ends: deque[WorkerEnd] = deque()
 
     def restore(self, value: bytes) -> None:
--- a/pimentocross/platform/__main__.py
+++ b/pimentocross/platform/__main__.py
@@ -56,9 +56,9 @@
     )
     node = GatewayNode(settings, platform, OperatorTopic(store))
     surfaces = Surfaces(
-        CallerSurface(node.desk).handle,
-        ReadySurface(node.desk).handle,
-        MetricsSurface(node.desk, node.gauges).handle,
+        CallerSurface(node.job_api).handle,
+        ReadySurface(node.job_api).handle,
+        MetricsSurface(node.job_api, node.gauges).handle,
     )
     return node, surfaces
 
--- a/pimentocross/platform/callers.py
+++ b/pimentocross/platform/callers.py
@@ -43,9 +43,9 @@
 class CallerSurface:
     """Answers callers' requests."""
 
-    def __init__(self, desk: CallerDesk) -> None:
+    def __init__(self, job_api: CallerDesk) -> None:
         """Takes what decides."""
-        self._desk = desk
+        self._desk = job_api
 
     async def handle(self, request: HttpRequest) -> HttpReply:
         """Answers one request."""
@@ -78,9 +78,9 @@
 class MetricsSurface:
     """Serves counters and histograms."""
 
-    def __init__(self, desk: CallerDesk, gauges: Gauges) -> None:
+    def __init__(self, job_api: CallerDesk, gauges: Gauges) -> None:
         """Takes the desk, and what returns present values."""
-        self._desk = desk
+        self._desk = job_api
         self._gauges = gauges
 
     async def handle(self, request: HttpRequest) -> HttpReply:
@@ -96,9 +96,9 @@
 class ReadySurface:
     """Tells the platform whether this VM takes callers."""
 
-    def __init__(self, desk: CallerDesk) -> None:
+    def __init__(self, job_api: CallerDesk) -> None:
         """Takes what knows."""
-        self._desk = desk
+        self._desk = job_api
 
     async def handle(self, request: HttpRequest) -> HttpReply:
         """Answers one request."""
--- a/tests/crash_loops.py
+++ b/tests/crash_loops.py
@@ -189,7 +189,7 @@
         while job not in self.states:
             if self._owner is not None:
                 with trio.move_on_after(1.0):
-                    await self._owner.desk.submit(job, QUEUE, asked)
+                    await self._owner.job_api.submit(job, QUEUE, asked)
                     self.states[job] = None
             await trio.sleep(0.05)
 
@@ -197,7 +197,7 @@
         """True once callers are told of each crashing job that it failed."""
         if self._owner is not None:
             for job in self.states:
-                told = self._owner.desk.state(job).state
+                told = self._owner.job_api.state(job).state
                 self.states[job] = told or self.states[job]
         return all(
             state is JobState.FAILED
--- a/tests/owner_fixtures.py
+++ b/tests/owner_fixtures.py
@@ -37,7 +37,7 @@
     CallerLimits(16384, 262144, 3.0, 15.0),
 )
 SMALL = Size(1000, 1000, 0)
-ROOM = Size(8000, 16000, 0)
+WORKER_CAPACITY = Size(8000, 16000, 0)
 # An order of a stand-in arrives within this, in seconds.
 _ON_ITS_WAY = 0.01
 
@@ -110,7 +110,7 @@
         f"10.0.0.{number}:80",
         "north",
         ("kind", rack),
-        ROOM,
+        WORKER_CAPACITY,
         False,
         0.0,
         born=1,
@@ -219,7 +219,7 @@
             await trio.sleep(0.05)
 
 
-def longest_away(journal: list[RunEvent]) -> float:
+def longest_interruption(journal: list[RunEvent]) -> float:
     """Returns the longest time between a stop and the next start."""
     stopped: dict[TaskName, float] = {}
     longest = 0.0
@@ -231,7 +231,7 @@
     return longest
 
 
-def find_twice(journal: list[RunEvent]) -> list[RunEvent]:
+def find_overlapping_starts(journal: list[RunEvent]) -> list[RunEvent]:
     """Returns starts of a task while another run of it was on a worker."""
     alive: dict[TaskName, set[tuple[str, int]]] = {}
     found = []
@@ -246,7 +246,7 @@
     return found
 
 
-def find_again(journal: list[RunEvent]) -> list[RunEvent]:
+def find_starts_after_success(journal: list[RunEvent]) -> list[RunEvent]:
     """Returns starts of a task after a run of it had ended well.
 
     Only endings count that an owner took note of, then or later: those of a
@@ -270,7 +270,7 @@
     return found
 
 
-def find_over_budget(journal: list[RunEvent]) -> list[RunEvent]:
+def find_starts_over_attempts(journal: list[RunEvent]) -> list[RunEvent]:
     """Returns starts after a task's attempts had failed, as was noted."""
     noted = {
         (event.worker, event.task, event.run)
@@ -304,7 +304,7 @@
     return found
 
 
-def ran_out(journal: list[RunEvent], job: str) -> bool:
+def used_all_attempts(journal: list[RunEvent], job: str) -> bool:
     """True if a task of a job failed as often as its queue allows."""
     failures = Counter(
         event.task
@@ -314,7 +314,7 @@
     return max(failures.values(), default=0) >= QUEUE.attempts
 
 
-def crashed_under(journal: list[RunEvent], job: str) -> bool:
+def crashed_twice_under(journal: list[RunEvent], job: str) -> bool:
     """True if two workers crashed in a row under a task of a job.
 
     An end between them counts if it was taken note of, else it went with its
--- a/tests/pass_fixtures.py
+++ b/tests/pass_fixtures.py
@@ -5,8 +5,8 @@
 
 from pimentocross.contracts.worker_link import WorkerLife
 from pimentocross.owner.dispatcher import Dispatcher
-from pimentocross.owner.jobs import JobBook
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.jobs import JobRegistry
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.owner.ledger import Batch, Ledger
 from pimentocross.owner.orders import Orders, Placement
 from pimentocross.owner.roster import Roster
@@ -47,8 +47,8 @@
         """Initializes a dispatcher without jobs on these workers."""
         self.workers = list(workers)
         ledger = Ledger(StoreStandin().client("a"), "jobs", "owner", 1)
-        self.book = JobBook(ledger, 150.0)
-        self.learned = Learned()
+        self.book = JobRegistry(ledger, 150.0)
+        self.learned = LearnedEstimates()
         self.recorded = RecordedOrders()
         self.dispatcher = Dispatcher(
             self.book,
--- a/tests/random_take_overs.py
+++ b/tests/random_take_overs.py
@@ -18,7 +18,7 @@
 import trio
 
 from pimentocross.owner import wall
-from pimentocross.owner.desk import Outcome
+from pimentocross.owner.job_api import Outcome
 from pimentocross.standins.task_worker import (
     LASTS,
     RunEvent,
@@ -31,8 +31,8 @@
 from tests.gateway_fixtures import STRONG, WEAK, VmCell
 from tests.owner_fixtures import (
     QUEUE,
-    find_again,
-    find_twice,
+    find_overlapping_starts,
+    find_starts_after_success,
     life,
     make_hall,
     spec,
@@ -124,7 +124,11 @@
             self._hall.journal, key=lambda e: (e.at, e.what == "start")
         )
         assert self._accepted, "no job was taken in"
-        return Broken(find_twice(journal), find_again(journal), self._away)
+        return Broken(
+            find_overlapping_starts(journal),
+            find_starts_after_success(journal),
+            self._away,
+        )
 
     def _plan(self, name: TaskName) -> TaskPlan:
         if name.job.startswith(_LASTING):
@@ -143,7 +147,7 @@
                 if owner is None:
                     # It has ended while another one was asked.
                     continue
-                reply = await owner.desk.submit(job, QUEUE, asked)
+                reply = await owner.job_api.submit(job, QUEUE, asked)
                 if reply.outcome is Outcome.OK:
                     self._accepted.add(job)
                     return True
--- a/tests/test_absent_workers.py
+++ b/tests/test_absent_workers.py
@@ -17,7 +17,7 @@
 from tests.gateway_fixtures import STRONG, WEAK, Vm, VmCell
 from tests.owner_fixtures import (
     QUEUE,
-    find_twice,
+    find_overlapping_starts,
     make_hall,
     make_owner,
     running,
@@ -67,7 +67,7 @@
     await wait_until(lambda: _all_at_work(hall), timeout=60.0)
     took = trio.current_time() - since
     assert took < _AT_WORK_WITHIN, f"away for {took:.1f} s"
-    assert not find_twice(hall.journal)
+    assert not find_overlapping_starts(hall.journal)
 
 
 async def _owner_of(cell: VmCell, *names: str) -> Vm:
@@ -80,7 +80,7 @@
 
 async def _submit(owner: Owner | None, hall: WorkerHall) -> None:
     assert owner is not None
-    await owner.desk.submit(_JOB, QUEUE, _watch())
+    await owner.job_api.submit(_JOB, QUEUE, _watch())
     await wait_until(lambda: _all_at_work(hall))
     await trio.sleep(3.0)
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -15,7 +15,7 @@
 )
 from pimentocross.links.asgi import HttpRequest
 from pimentocross.observe import meters
-from pimentocross.owner.desk import JobReply, Outcome
+from pimentocross.owner.job_api import JobReply, Outcome
 from pimentocross.owner.owner import Owner
 from pimentocross.placement.forecast import (
     MAX_RETRY_SECONDS,
@@ -91,16 +91,16 @@
     """Runs an owner that has done some work and has minutes of it ahead."""
     async with running(make_owner(store, hall, 1, config=_TWO)) as owner:
         for number in range(10):
-            await owner.desk.submit(f"done{number}", QUEUE, chain(8, 1))
+            await owner.job_api.submit(f"done{number}", QUEUE, chain(8, 1))
         await trio.sleep(8)
         for number in range(100):
-            await owner.desk.submit(f"first{number}", QUEUE, chain(60, 1))
+            await owner.job_api.submit(f"first{number}", QUEUE, chain(60, 1))
         await trio.sleep(1)
         yield owner
 
 
 async def _submit(owner: Owner, job: str, spec: JobSpec) -> JobReply:
-    return await owner.desk.submit(job, _LATER, spec)
+    return await owner.job_api.submit(job, _LATER, spec)
 
 
 async def test_a_job_behind_minutes_of_work_is_refused_at_once() -> None:
@@ -115,15 +115,15 @@
         counted = meters.total('jobs_refused_total{queue="later"}')
         assert counted == refused + 1
         # Nothing of it was kept.
-        assert owner.desk.state("late").outcome is Outcome.NO_SUCH_JOB
-        assert not owner.desk.knows("late")
+        assert owner.job_api.state("late").outcome is Outcome.NO_SUCH_JOB
+        assert not owner.job_api.knows("late")
         # What goes first is taken, and what is known is never refused.
-        first = await owner.desk.submit("urgent", QUEUE, chain(2, 1))
-        assert owner.desk.knows("first0")
-        again = await owner.desk.submit("first0", _LATER, chain(60, 1))
+        first = await owner.job_api.submit("urgent", QUEUE, chain(2, 1))
+        assert owner.job_api.knows("first0")
+        again = await owner.job_api.submit("first0", _LATER, chain(60, 1))
         assert first.outcome is again.outcome is Outcome.OK
         # Neither is what is worth as much later, or due later.
-        endless = await owner.desk.submit("endless", _ENDLESS, chain(1, 1))
+        endless = await owner.job_api.submit("endless", _ENDLESS, chain(1, 1))
         timed = chain(1, 1)._replace(repeats=1, first_due=9e9, interval=1.0)
         due = await _submit(owner, "due", timed)
         assert endless.outcome is due.outcome is Outcome.OK
@@ -169,15 +169,15 @@
 
 
 async def test_the_caller_is_told_429_and_when_to_come_back() -> None:
-    desk = CallerDesk(FixedConfig(CONFIG), _Full())
-    place = await desk.find("host", "/plans/j1")
+    job_api = CallerDesk(FixedConfig(CONFIG), _Full())
+    place = await job_api.find("host", "/plans/j1")
     assert not isinstance(place, Answer)
-    answer = await desk.submit(place, chain(1, 1), 3.0)
+    answer = await job_api.submit(place, chain(1, 1), 3.0)
     assert answer.kind is AnswerKind.FULL
     assert answer.retry_after == 7.0
     body = b'{"job_steps": [{"count": 1, "cpu": 100, "mem_mb": 10}]}'
     request = HttpRequest("POST", "/plans/j1", b"", [(b"host", b"host")], body)
-    reply = await CallerSurface(desk).handle(request)
+    reply = await CallerSurface(job_api).handle(request)
     assert reply.status == 429, reply
     assert (b"retry-after", b"7") in reply.headers
 
--- a/tests/test_changing_capacity.py
+++ b/tests/test_changing_capacity.py
@@ -24,12 +24,12 @@
 from tests.owner_fixtures import (
     CONFIG,
     QUEUE,
-    ROOM,
     SMALL,
+    WORKER_CAPACITY,
     chain,
     count,
-    find_again,
-    find_twice,
+    find_overlapping_starts,
+    find_starts_after_success,
     life,
     make_owner,
     running,
@@ -58,7 +58,7 @@
         self.changes: dict[str, list[_Change]] = {}
         for number in range(workers):
             listed = life(number)
-            self.changes[listed.id] = [_Change(0.0, ROOM)]
+            self.changes[listed.id] = [_Change(0.0, WORKER_CAPACITY)]
             self.hall.add(
                 TaskWorkerStandin(
                     listed, _plan, self.hall.journal, guarded=False
@@ -67,7 +67,7 @@
 
     def change(self, worker: TaskWorkerStandin, share: float) -> None:
         """Has a worker carry a share of what it did at first."""
-        room = Size(*(int(part * share) for part in ROOM))
+        room = Size(*(int(part * share) for part in WORKER_CAPACITY))
         worker.life = worker.life._replace(capacity=room)
         change = _Change(trio.current_time(), room)
         self.changes[worker.life.id].append(change)
@@ -119,27 +119,27 @@
     cell = _Cell(6)
     jobs = [f"job{number}" for number in range(120)]
     async with _owned(cell, StoreStandin(seed)) as owner:
-        await owner.desk.submit(
+        await owner.job_api.submit(
             "last", QUEUE, spec(StepSpec(12, SMALL, lasting=True))
         )
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_vary, cell, draw)
             for job in jobs:
-                await owner.desk.submit(job, QUEUE, chain(3, 2))
+                await owner.job_api.submit(job, QUEUE, chain(3, 2))
                 await trio.sleep(draw.uniform(0.0, 0.4))
             nursery.cancel_scope.cancel()
         for worker in cell.hall.workers.values():
             cell.change(worker, 1.0)
         await wait_until(
             lambda: all(
-                owner.desk.state(job).state is JobState.COMPLETED
+                owner.job_api.state(job).state is JobState.COMPLETED
                 for job in jobs
             )
         )
         await wait_until(lambda: _lasting_now(cell.hall) == 12)
     assert not cell.find_overloads(), (seed, cell.find_overloads()[:3])
-    assert not find_twice(cell.hall.journal)
-    assert not find_again(cell.hall.journal)
+    assert not find_overlapping_starts(cell.hall.journal)
+    assert not find_starts_after_success(cell.hall.journal)
 
 
 def _lasting_now(hall: WorkerHall) -> int:
@@ -161,7 +161,7 @@
     store, cell = StoreStandin(), _Cell(1)
     worker = next(iter(cell.hall.workers.values()))
     async with _owned(cell, store) as owner:
-        await owner.desk.submit("job", QUEUE, chain(8, 2))
+        await owner.job_api.submit("job", QUEUE, chain(8, 2))
         await wait_until(lambda: count(cell.hall.journal, "start") == 8)
         store.faults.away = True
         await trio.sleep(2)
@@ -169,7 +169,7 @@
         await trio.sleep(6)
         store.faults.away = False
         await wait_until(
-            lambda: owner.desk.state("job").state is JobState.COMPLETED
+            lambda: owner.job_api.state("job").state is JobState.COMPLETED
         )
     assert not cell.find_overloads()
 
@@ -182,11 +182,11 @@
         await trio.sleep(1)
         cell.change(worker, 0.25)
         await trio.sleep(_KNOWN_WITHIN)
-        await owner.desk.submit("job", QUEUE, chain(8, 1))
+        await owner.job_api.submit("job", QUEUE, chain(8, 1))
         await trio.sleep(3)
         assert not cell.find_overloads()
         cell.hall.directory_away = False
         await wait_until(
-            lambda: owner.desk.state("job").state is JobState.COMPLETED
+            lambda: owner.job_api.state("job").state is JobState.COMPLETED
         )
     assert not cell.find_overloads()
--- a/tests/test_collecting.py
+++ b/tests/test_collecting.py
@@ -20,7 +20,7 @@
 from pimentocross.contracts.store import Record
 from pimentocross.owner import wall
 from pimentocross.owner.collector import survivors_left_out
-from pimentocross.owner.jobs import JobBook
+from pimentocross.owner.jobs import JobRegistry
 from pimentocross.owner.ledger import Ledger
 from pimentocross.platform import __main__ as process
 from pimentocross.standins.store import StoreStandin
@@ -115,8 +115,8 @@
         taken_over = len(gc.get_objects())
         for number in range(_JOBS):
             job = f"new{number}"
-            await owner.desk.submit(job, QUEUE, chain())
-            await owner.desk.cancel(job)
+            await owner.job_api.submit(job, QUEUE, chain())
+            await owner.job_api.cancel(job)
         # The first looks through these jobs, and no later one does.
         gc.collect()
         grown = len(gc.get_objects())
@@ -127,7 +127,7 @@
 async def test_what_an_owner_left_is_collected_under_the_next() -> None:
     was_enabled = gc.isenabled()
     async with running(make_owner(StoreStandin(), make_hall(), 1)) as owner:
-        await owner.desk.submit("j", QUEUE, chain())
+        await owner.job_api.submit("j", QUEUE, chain())
         kept = [o for o in gc.get_objects() if isinstance(o, Job)]
         left = [weakref.ref(job) for job in kept if job.id == "j"]
         del kept
@@ -148,11 +148,11 @@
 
 def test_a_job_that_is_forgotten_is_freed_without_a_look_for_cycles() -> None:
     ledger = Ledger(StoreStandin().client("a"), "jobs", "owner", 1)
-    book = JobBook(ledger, 0.0)
-    book.accept("j", QUEUE, chain())
-    job = book.find("j")
+    registry = JobRegistry(ledger, 0.0)
+    registry.accept("j", QUEUE, chain())
+    job = registry.find("j")
     assert job is not None
-    book.cancel(job)
+    registry.cancel(job)
     job.recorded_state = JobState.CANCELLED
     job.ended_at -= 1.0
     kept = weakref.ref(job)
@@ -160,7 +160,7 @@
     was_enabled = gc.isenabled()
     gc.disable()
     try:
-        book.sweep()
+        registry.sweep()
         assert kept() is None
     finally:
         if was_enabled:
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -16,8 +16,8 @@
 from pimentocross.owner.arranger import Arranger
 from pimentocross.owner.copier import Copier
 from pimentocross.owner.endings import apply_ending
-from pimentocross.owner.jobs import JobBook
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.jobs import JobRegistry
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.owner.ledger import Ledger
 from pimentocross.owner.orders import Placement
 from pimentocross.owner.owner import Owner
@@ -39,7 +39,7 @@
     QUEUE,
     SMALL,
     count,
-    find_again,
+    find_starts_after_success,
     life,
     make_hall,
     make_owner,
@@ -92,8 +92,8 @@
 
     def __init__(self) -> None:
         store = StoreStandin().client("a")
-        self.book = JobBook(Ledger(store, "jobs", "owner", 1), 150.0)
-        self.learned = Learned()
+        self.book = JobRegistry(Ledger(store, "jobs", "owner", 1), 150.0)
+        self.learned = LearnedEstimates()
         for number in range(15):
             former = make_step(f"former{number}", _STEP)
             for took in [*[_USUAL] * 9, _LONG]:
@@ -238,7 +238,7 @@
             make_owner(store or StoreStandin(), hall, 1)
         ) as owner:
             await owner.settled.wait()
-            await owner.desk.submit("j", QUEUE, spec(_STEP))
+            await owner.job_api.submit("j", QUEUE, spec(_STEP))
             yield hall, owner
 
 
@@ -254,7 +254,7 @@
 
 
 def _ended(owner: Owner) -> Callable[[], bool]:
-    return lambda: owner.desk.state("j").state is JobState.COMPLETED
+    return lambda: owner.job_api.state("j").state is JobState.COMPLETED
 
 
 async def _wait_for_copy(hall: WorkerHall) -> None:
@@ -265,7 +265,7 @@
     """Checks that no run is left or began after its task had ended."""
     for worker in hall.workers.values():
         assert worker.committed == Size(0, 0, 0)
-    assert not find_again(hall.journal)
+    assert not find_starts_after_success(hall.journal)
 
 
 async def test_a_copy_ends_its_step_and_the_other_run_is_stopped() -> None:
@@ -309,7 +309,7 @@
 async def test_a_cancel_stops_both_runs() -> None:
     async with _cell(_Plans(TaskPlan(9.0, SMALL))) as (hall, owner):
         await _wait_for_copy(hall)
-        await owner.desk.cancel("j")
+        await owner.job_api.cancel("j")
         await trio.sleep(1.0)
         assert _events(hall, 1, "stopped")
         assert _events(hall, 2, "stopped")
--- a/tests/test_counted_anew.py
+++ b/tests/test_counted_anew.py
@@ -28,7 +28,7 @@
     QUEUE,
     SMALL,
     count,
-    find_twice,
+    find_overlapping_starts,
     life,
     make_hall,
     make_owner,
@@ -119,7 +119,7 @@
     for number, worker in enumerate(hall.workers.values()):
         worker.life = worker.life._replace(labels=("kind", f"r{number}"))
     async with _owning(hall) as owners:
-        await owners.owner.desk.submit("watch", QUEUE, _LASTING)
+        await owners.owner.job_api.submit("watch", QUEUE, _LASTING)
         for generation in range(1, 6):
             await trio.sleep(2.0)
             if not _where(hall, "watch"):
@@ -132,7 +132,7 @@
             for name in [hit, *others[:3]]:
                 _replace(hall, name, generation)
         await trio.sleep(2.0)
-        return owners.owner.desk.state("watch").state
+        return owners.owner.job_api.state("watch").state
 
 
 async def test_a_storm_of_crashes_ends_no_job_under_one_owner() -> None:
@@ -159,9 +159,9 @@
 
     hall = make_hall(2, plan)
     async with _owning(hall) as owners:
-        desk = owners.owner.desk
+        job_api = owners.owner.job_api
         suspect = spec(StepSpec(1, SMALL, 100.0))
-        await desk.submit("suspect", QUEUE, suspect)
+        await job_api.submit("suspect", QUEUE, suspect)
         for generation in range(1, 4):
             await wait_until(lambda: any(w.down for w in hall.workers.values()))
             hit = next(n for n, w in hall.workers.items() if w.down)
@@ -174,7 +174,7 @@
             )
         await wait_until(lambda: bool(_where(hall, "suspect")))
         # The other one is full; what comes now has room beside that run.
-        await desk.submit("watch", QUEUE, _FOUR)
+        await job_api.submit("watch", QUEUE, _FOUR)
         began = trio.current_time()
         while _count_listed(hall, "watch") < 4:
             await owners.follow()
@@ -201,7 +201,7 @@
         async with _owning(hall) as owners:
             for worker in hall.workers.values():
                 worker.faults.silent = True
-            await owners.owner.desk.submit("watch", QUEUE, _LASTING)
+            await owners.owner.job_api.submit("watch", QUEUE, _LASTING)
             # Decided on and recorded; the start has reached nobody.
             await trio.sleep(0.1)
             await owners.end()
@@ -227,7 +227,7 @@
         worker.faults.late = 1.0
         last = mock.Mock(return_value=const.LATE_START_MOST - 0.1)
         with mock.patch.object(worker.faults.random, "uniform", last):
-            await owner.desk.submit("watch", QUEUE, _LASTING)
+            await owner.job_api.submit("watch", QUEUE, _LASTING)
             await trio.sleep(0.2)
         sent_at = trio.current_time()
         worker.faults.late = 0.0
@@ -246,7 +246,9 @@
             hall.unlisted.clear()
             await trio.sleep(5.0)
     assert count(hall.journal, "start"), "nothing began"
-    assert not find_twice(hall.journal), find_twice(hall.journal)
+    assert not find_overlapping_starts(hall.journal), find_overlapping_starts(
+        hall.journal
+    )
 
 
 async def test_a_late_start_is_waited_for_where_clocks_agree() -> None:
--- a/tests/test_crash_loops.py
+++ b/tests/test_crash_loops.py
@@ -2,7 +2,11 @@
 
 from tests import crash_loops
 from tests.crash_loops import Outcome, Scene
-from tests.owner_fixtures import find_again, find_crash_loops, find_twice
+from tests.owner_fixtures import (
+    find_crash_loops,
+    find_overlapping_starts,
+    find_starts_after_success,
+)
 
 # Users let a crashing task be started twice more after its third crash; the aim
 # is that it isn't started again.
@@ -13,8 +17,8 @@
     found = [crash_loops.play(scene, seed) for seed in seeds]
     for outcome in found:
         assert not find_crash_loops(outcome.journal)
-        assert not find_twice(outcome.journal)
-        assert not find_again(outcome.journal)
+        assert not find_overlapping_starts(outcome.journal)
+        assert not find_starts_after_success(outcome.journal)
     return found
 
 
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -11,7 +11,7 @@
 from bench.wire_parts import make_parts
 from pimentocross.observe import decisions
 from pimentocross.owner.isolation import Isolation
-from pimentocross.owner.jobs import JobBook
+from pimentocross.owner.jobs import JobRegistry
 from pimentocross.owner.keeper import Keeper
 from pimentocross.owner.ledger import Ledger
 from pimentocross.owner.owner import Owner
@@ -46,9 +46,9 @@
     SMALL,
     chain,
     count,
-    find_again,
     find_crash_loops,
-    find_twice,
+    find_overlapping_starts,
+    find_starts_after_success,
     life,
     make_owner,
     running,
@@ -113,22 +113,22 @@
 
 
 def _states(owner: Owner, jobs: Sequence[str]) -> set[JobState | None]:
-    return {owner.desk.state(job).state for job in jobs}
+    return {owner.job_api.state(job).state for job in jobs}
 
 
 async def _submit_stream(owner: Owner, count: int) -> list[str]:
     """Submits jobs of three tasks, ten a second."""
     jobs = [f"job{number}" for number in range(count)]
     for job in jobs:
-        await owner.desk.submit(job, QUEUE, chain(3, 1))
+        await owner.job_api.submit(job, QUEUE, chain(3, 1))
         await trio.sleep(0.1)
     return jobs
 
 
 def _check(hall: WorkerHall) -> None:
     assert not find_crash_loops(hall.journal)
-    assert not find_twice(hall.journal)
-    assert not find_again(hall.journal)
+    assert not find_overlapping_starts(hall.journal)
+    assert not find_starts_after_success(hall.journal)
 
 
 async def test_a_task_that_crashes_its_workers_is_given_up() -> None:
@@ -151,7 +151,7 @@
     async with _owned_cell(12) as (owner, hall):
         crashing = [f"crash-{number}" for number in range(6)]
         for job in crashing:
-            await owner.desk.submit(job, QUEUE, chain(3, 1))
+            await owner.job_api.submit(job, QUEUE, chain(3, 1))
         jobs = await _submit_stream(owner, 60)
         await trio.sleep(_ENDED_AFTER)
         _check(hall)
@@ -163,11 +163,11 @@
 
 async def _play_one_crashing_task(*, keeps_ids: bool) -> None:
     async with _owned_cell(6, keeps_ids=keeps_ids) as (owner, hall):
-        await owner.desk.submit("crash", QUEUE, chain(3, 2))
+        await owner.job_api.submit("crash", QUEUE, chain(3, 2))
         jobs = await _submit_stream(owner, 100)
         await trio.sleep(_ENDED_AFTER)
         _check(hall)
-        assert owner.desk.state("crash").state is JobState.FAILED
+        assert owner.job_api.state("crash").state is JobState.FAILED
         assert _states(owner, jobs) == {JobState.COMPLETED}
     assert all(e.task.step == 0 for e in hall.journal if e.task.job == "crash")
 
@@ -178,12 +178,14 @@
     async with _owned_cell(3 * _RACK) as (owner, hall):
         lasting = [f"{number}-lasting" for number in range(6)]
         for job in lasting:
-            await owner.desk.submit(job, QUEUE, spec(_LASTING))
+            await owner.job_api.submit(job, QUEUE, spec(_LASTING))
         crashing = [f"crash-{number}" for number in range(bad)]
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_crash_rack, hall, draw.uniform(1.0, 9.0), draw)
             for job in crashing:
-                nursery.start_soon(owner.desk.submit, job, QUEUE, chain(3, 1))
+                nursery.start_soon(
+                    owner.job_api.submit, job, QUEUE, chain(3, 1)
+                )
             jobs = await _submit_stream(owner, 60)
         await trio.sleep(_ENDED_AFTER)
         _check(hall)
@@ -221,9 +223,9 @@
     }
     async with _owned_cell(3 * _RACK) as (owner, hall):
         for job, asked in kinds.items():
-            await owner.desk.submit(job, QUEUE, asked)
+            await owner.job_api.submit(job, QUEUE, asked)
         await trio.sleep(_ENDED_AFTER)
-        states = {job: owner.desk.state(job).state for job in kinds}
+        states = {job: owner.job_api.state(job).state for job in kinds}
         assert set(states.values()) == {JobState.FAILED}, states
         assert not any(worker.committed.cpu for worker in hall.workers.values())
         _check(hall)
@@ -231,11 +233,11 @@
 
 async def test_a_task_that_crashes_its_workers_late_is_given_up() -> None:
     async with _owned_cell(_RACK) as (owner, hall):
-        await owner.desk.submit("later", QUEUE, chain(3, 1))
+        await owner.job_api.submit("later", QUEUE, chain(3, 1))
         jobs = await _submit_stream(owner, 100)
         await trio.sleep(2 * _ENDED_AFTER)
         _check(hall)
-        assert owner.desk.state("later").state is JobState.FAILED
+        assert owner.job_api.state("later").state is JobState.FAILED
         assert _states(owner, jobs) == {JobState.COMPLETED}
 
 
@@ -244,10 +246,10 @@
     for least in (6.0, 8.0, 12.0, 20.0):
         async with _cell(12, DownTime(least, least + 1.0)) as hall:
             async with running(make_owner(StoreStandin(), hall, 1)) as owner:
-                await owner.desk.submit("crash", QUEUE, chain(3, 1))
+                await owner.job_api.submit("crash", QUEUE, chain(3, 1))
                 await trio.sleep(150)
                 _check(hall)
-                state = owner.desk.state("crash").state
+                state = owner.job_api.state("crash").state
                 assert state is JobState.FAILED, least
 
 
@@ -258,10 +260,10 @@
             owner = make_owner(store, hall, epoch, former_quiet=False)
             async with running(owner):
                 if epoch == 1:
-                    await owner.desk.submit("crash", QUEUE, chain(3, 1))
+                    await owner.job_api.submit("crash", QUEUE, chain(3, 1))
                 # Some die before a crash is known, some after it.
                 await trio.sleep(1.0 + 0.7 * epoch)
-                state = owner.desk.state("crash").state
+                state = owner.job_api.state("crash").state
         assert state is JobState.FAILED
         _check(hall)
         assert count(hall.journal, "crashed") <= 5
@@ -278,10 +280,10 @@
     async with _owned_cell(24, keeps_ids=True) as (owner, hall):
         lasting = [f"{number}-lasting" for number in range(8)]
         for job in lasting:
-            await owner.desk.submit(job, QUEUE, spec(_LASTING))
+            await owner.job_api.submit(job, QUEUE, spec(_LASTING))
         crashing = [f"crash-{number}" for number in range(5)]
         for job in crashing:
-            await owner.desk.submit(job, QUEUE, chain(3, 1))
+            await owner.job_api.submit(job, QUEUE, chain(3, 1))
         ends_at = trio.current_time() + 60.0
         while trio.current_time() < ends_at:
             # A worker starts again every 17 s.
@@ -302,7 +304,7 @@
     with mock.patch.object(Worker, "is_proven", busy):
         async with _owned_cell(2) as (owner, hall):
             step = _LASTING._replace(width=1)
-            await owner.desk.submit("0-lasting", QUEUE, spec(step))
+            await owner.job_api.submit("0-lasting", QUEUE, spec(step))
             await wait_until(lambda: _starts(hall, "0-lasting") == 1)
             worker = hall.workers[hall.journal[0].worker]
             worker.crash()
@@ -330,7 +332,7 @@
     async with _cell(4) as hall:
         owner = make_owner(store, hall, 1, vm="a")
         async with running(owner):
-            await owner.desk.submit("0-lasting", QUEUE, spec(_LASTING))
+            await owner.job_api.submit("0-lasting", QUEUE, spec(_LASTING))
             await wait_until(lambda: count(hall.journal, "start") == 6)
             cut = hall.journal[0].worker
             hall.cut["a"].add(cut)
@@ -351,7 +353,7 @@
     # The directory lists its machine's next life while a call is on its way,
     # which that life answers.
     ledger = Ledger(StoreStandin().client("a"), "jobs", "owner", 1)
-    book = JobBook(ledger, 0.0)
+    book = JobRegistry(ledger, 0.0)
     parts = make_parts(book, ledger, lambda *_: None, lambda _: None)
     keeper = Keeper(make_worker(life(1), 1), parts, mock.Mock())
     before = decisions.counts()["worker_crashed"]
--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -10,7 +10,7 @@
 from pimentocross.observe import decisions
 from pimentocross.owner import wall
 from pimentocross.owner.doubts import Doubts
-from pimentocross.owner.jobs import JobBook
+from pimentocross.owner.jobs import JobRegistry
 from pimentocross.owner.ledger import Ledger
 from pimentocross.owner.life_numbers import LifeNumbers
 from pimentocross.owner.worker import Worker
@@ -81,7 +81,7 @@
 async def test_a_new_owner_knows_how_soon_a_worker_went() -> None:
     async with _cell(down=2.0) as (store, hall):
         async with running(make_owner(store, hall, 1)) as owner:
-            await owner.desk.submit(_JOB, QUEUE, chain(1, 1))
+            await owner.job_api.submit(_JOB, QUEUE, chain(1, 1))
             await wait_until(lambda: count(hall.journal, "crashed") == 1)
             await trio.sleep(0.2)
         assert await _history(store) == CrashHistory()
@@ -95,7 +95,7 @@
 async def test_a_run_that_lapsed_counts_for_a_new_owner() -> None:
     async with _cell(down=8.0) as (store, hall):
         async with running(make_owner(store, hall, 1)) as owner:
-            await owner.desk.submit(_JOB, QUEUE, chain(1, 1))
+            await owner.job_api.submit(_JOB, QUEUE, chain(1, 1))
             # Its lease has lapsed, and nobody knows what became of the worker.
             await wait_until(lambda: count(hall.journal, "start") == 2)
             await trio.sleep(0.2)
@@ -109,9 +109,9 @@
 async def test_entries_of_ended_lives_are_no_crashes_to_a_new_owner() -> None:
     async with _cell(down=1.0) as (store, hall):
         async with running(make_owner(store, hall, 1)) as owner:
-            await owner.desk.submit(_JOB, QUEUE, chain(1, 1))
+            await owner.job_api.submit(_JOB, QUEUE, chain(1, 1))
             await wait_until(
-                lambda: owner.desk.state(_JOB).state is JobState.FAILED
+                lambda: owner.job_api.state(_JOB).state is JobState.FAILED
             )
         assert hall.left_over
         before = decisions.counts()["worker_crashed"]
@@ -123,7 +123,7 @@
 async def test_a_worker_that_is_heard_again_leaves_no_doubt() -> None:
     async with _cell(down=1.0) as (store, hall):
         async with running(make_owner(store, hall, 1, vm="a")) as owner:
-            await owner.desk.submit("job", QUEUE, chain(1, 1))
+            await owner.job_api.submit("job", QUEUE, chain(1, 1))
             await wait_until(lambda: count(hall.journal, "start") == 1)
             hall.cut["a"].add(hall.journal[0].worker)
             await trio.sleep(2.0)
@@ -132,7 +132,7 @@
             await trio.sleep(1.0)
             assert not await _values(store, DOUBTS)
             # Another owner hears it, as this one can't.
-            await owner.desk.submit("more", QUEUE, chain(1, 1))
+            await owner.job_api.submit("more", QUEUE, chain(1, 1))
             await wait_until(lambda: count(hall.journal, "start") == 2)
             hall.cut["a"].add(hall.journal[-1].worker)
             await trio.sleep(2.0)
@@ -145,18 +145,18 @@
 async def test_what_never_comes_back_is_forgotten() -> None:
     async with _cell(down=1000.0) as (store, hall):
         async with running(make_owner(store, hall, 1)) as owner:
-            await owner.desk.submit(_JOB, QUEUE, chain(1, 1))
+            await owner.job_api.submit(_JOB, QUEUE, chain(1, 1))
             await wait_until(lambda: count(hall.journal, "crashed") == 1)
             await trio.sleep(1.0)
             assert await _values(store, DOUBTS)
-            await owner.desk.cancel(_JOB)
+            await owner.job_api.cancel(_JOB)
             await trio.sleep(40.0)
             assert not await _values(store, DOUBTS)
 
 
 async def test_only_what_was_seen_is_recorded_of_a_silent_worker() -> None:
     ledger = Ledger(StoreStandin().client("a"), "jobs", "owner", 1)
-    book = JobBook(ledger, 0.0)
+    book = JobRegistry(ledger, 0.0)
     parts = make_parts(book, ledger, lambda *_: None, lambda _: None)
     task = make_step(_JOB, StepSpec(1, SMALL)).tasks[0]
 
@@ -185,7 +185,7 @@
     async with _cell(down=2.0) as (store, hall):
         lasting = StepSpec(1, SMALL, lasting=True)
         async with running(make_owner(store, hall, 1)) as owner:
-            await owner.desk.submit("last", QUEUE, spec(lasting))
+            await owner.job_api.submit("last", QUEUE, spec(lasting))
             await wait_until(lambda: count(hall.journal, "start") == 1)
             await trio.sleep(2.0)
             worker = hall.workers[hall.journal[0].worker]
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -91,12 +91,12 @@
     zones.close(_NORTH)
     async with running(_owner(StoreStandin(), hall, zones)) as owner:
         for number in range(6):
-            await owner.desk.submit(f"j{number}", QUEUE, chain(4, 2))
+            await owner.job_api.submit(f"j{number}", QUEUE, chain(4, 2))
         await wait_until(lambda: len(hall.journal) >= 96)
         assert not _starts_in(hall, _NORTH, 0.0)
         zones.open_all()
         for number in range(6, 12):
-            await owner.desk.submit(f"j{number}", QUEUE, chain(4, 2))
+            await owner.job_api.submit(f"j{number}", QUEUE, chain(4, 2))
         await wait_until(lambda: bool(_starts_in(hall, _NORTH, 0.0)))
 
 
@@ -110,7 +110,7 @@
     hall, zones = _hall(plan, each=3), ClosedZones()
     async with running(_owner(StoreStandin(), hall, zones)) as owner:
         for number in range(12):
-            await owner.desk.submit(f"j{number}", QUEUE, chain(4, 2))
+            await owner.job_api.submit(f"j{number}", QUEUE, chain(4, 2))
         await trio.sleep(0.4)
         zones.close(_NORTH)
         closed_at = trio.current_time()
@@ -127,7 +127,7 @@
     async with running(_owner(store, hall, zones)) as owner:
         store.faults.delay = 0.6
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(owner.desk.submit, "j", QUEUE, chain(24, 1))
+            nursery.start_soon(owner.job_api.submit, "j", QUEUE, chain(24, 1))
             await trio.sleep(0.3)
             assert not hall.journal, "no order waited"
             zones.close(_NORTH)
@@ -142,7 +142,7 @@
     gang = spec(StepSpec(8, SMALL, 0.5, gang=True))
     async with running(_owner(StoreStandin(), hall, zones)) as owner:
         for number in range(3):
-            await owner.desk.submit(f"g{number}", QUEUE, gang)
+            await owner.job_api.submit(f"g{number}", QUEUE, gang)
         await trio.sleep(5.0)
         assert not _starts_in(hall, _NORTH, 0.0)
         assert any(e.what == "start" for e in hall.journal)
@@ -153,7 +153,7 @@
     hall, zones = _hall(_lasting), ClosedZones()
     lasting = spec(StepSpec(12, SMALL, 0.5, lasting=True))
     async with running(_owner(StoreStandin(), hall, zones)) as owner:
-        await owner.desk.submit("w", QUEUE, lasting)
+        await owner.job_api.submit("w", QUEUE, lasting)
         await wait_until(lambda: len(hall.journal) == 12)
         before = len(_starts_in(hall, _NORTH, 0.0))
         zones.close(_NORTH)
@@ -165,7 +165,7 @@
     hall, zones = _hall(_short), ClosedZones()
     zones.close(*ZONES)
     async with running(_owner(StoreStandin(), hall, zones)) as owner:
-        await owner.desk.submit("j", QUEUE, chain(4, 1))
+        await owner.job_api.submit("j", QUEUE, chain(4, 1))
         await trio.sleep(5.0)
         assert not hall.journal
         zones.open("west")
@@ -197,7 +197,7 @@
             number += 1
             job = f"e{self._epoch}-{number}"
             with trio.move_on_after(0.2):
-                await owner.desk.submit(job, QUEUE, chain(3, 1))
+                await owner.job_api.submit(job, QUEUE, chain(3, 1))
             await trio.sleep(0.1)
 
 
@@ -327,7 +327,7 @@
     async with followed_operator(3.0, _WITHIN) as followed:
         cell = _Cell(followed, _hall(_short))
         async with cell.owned() as owner:
-            await owner.desk.submit("first", QUEUE, chain(60, 1))
+            await owner.job_api.submit("first", QUEUE, chain(60, 1))
             await trio.sleep(0.5)
         await followed.evacuate(_NORTH)
         acked_at = trio.current_time()
--- a/tests/test_failing_workers.py
+++ b/tests/test_failing_workers.py
@@ -51,11 +51,12 @@
                 worker.faults.fails_all = True
             wide = spec(*(StepSpec(39, _SIZE, 0.5) for _ in range(2)))
             for number in range(_JOBS):
-                await owner.desk.submit(f"j{number}", QUEUE, wide)
+                await owner.job_api.submit(f"j{number}", QUEUE, wide)
                 await trio.sleep(0.25)
             await trio.sleep(6.0)
             states.extend(
-                owner.desk.state(f"j{number}").state for number in range(_JOBS)
+                owner.job_api.state(f"j{number}").state
+                for number in range(_JOBS)
             )
 
 
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -197,7 +197,7 @@
         ):
             async with running(make_owner(StoreStandin(), hall, 1)) as owner:
                 step = StepSpec(4, Size(1000, 500, 0), 0.2)
-                await owner.desk.submit("j", QUEUE, spec(step))
+                await owner.job_api.submit("j", QUEUE, spec(step))
                 await trio.sleep(3.0)
 
     run_virtual(play)
--- a/tests/test_former_leases.py
+++ b/tests/test_former_leases.py
@@ -25,7 +25,7 @@
     CONFIG,
     QUEUE,
     count,
-    find_twice,
+    find_overlapping_starts,
     life,
     make_hall,
     make_owner,
@@ -54,7 +54,9 @@
     for worker in hall.workers.values():
         worker.advance()
     journal = sorted(hall.journal, key=lambda e: (e.at, e.what == "start"))
-    assert not find_twice(journal), find_twice(journal)
+    assert not find_overlapping_starts(journal), find_overlapping_starts(
+        journal
+    )
 
 
 def _newest_leases(store: StoreStandin) -> records.LeasesRecord:
@@ -86,7 +88,7 @@
     async with running(make_owner(store, hall, 1)) as owner:
         await trio.sleep(0.5)
         worker.faults.silent = True
-        await owner.desk.submit("watch", QUEUE, _watch(1))
+        await owner.job_api.submit("watch", QUEUE, _watch(1))
         await trio.sleep(0.3)
     sent_at = trio.current_time()
     worker.crash()
@@ -100,7 +102,7 @@
         longest = const.LATE_START_MOST + _BETWEEN_OWNERS + _SOON
         until = sent_at + longest - trio.current_time()
         await wait_until(lambda: count(hall.journal, "start") == 1, until)
-    assert not find_twice(hall.journal)
+    assert not find_overlapping_starts(hall.journal)
 
 
 async def test_a_quiet_claim_says_nothing_of_owners_before_the_last() -> None:
@@ -114,7 +116,7 @@
         cell.start("third", WEAK)
         owner = cell.owners()[0].election.owner
         assert owner is not None
-        await owner.desk.submit("watch", QUEUE, _watch(6))
+        await owner.job_api.submit("watch", QUEUE, _watch(6))
         await wait_until(lambda: count(hall.journal, "start") == 6)
         await trio.sleep(2.0)
         # An owner of a former version records no leases.
@@ -140,7 +142,7 @@
     # LOST: the owner between them couldn't know, and its record bound all.
     store, hall = StoreStandin(), make_hall(3, _lasting)
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("watch", QUEUE, _watch(6))
+        await owner.job_api.submit("watch", QUEUE, _watch(6))
         await wait_until(lambda: count(hall.journal, "start") == 6)
         await trio.sleep(2.0)
     _leave(hall, _one_at_work(hall))
@@ -157,7 +159,7 @@
     # LOST: each counts its predecessor anew on a worker that nobody reaches.
     store, hall = StoreStandin(), make_hall(3, _lasting)
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("watch", QUEUE, _watch(6))
+        await owner.job_api.submit("watch", QUEUE, _watch(6))
         await wait_until(lambda: count(hall.journal, "start") == 6)
         await trio.sleep(2.0)
     # It runs on and its entry stays: it reaches the store, and no VM.
@@ -180,7 +182,7 @@
     # last one that an owner could write isn't counted.
     store, hall = StoreStandin(), make_hall(3, _lasting)
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("watch", QUEUE, _watch(6))
+        await owner.job_api.submit("watch", QUEUE, _watch(6))
         await wait_until(lambda: count(hall.journal, "start") == 6)
         await trio.sleep(2.0)
     _leave(hall, _one_at_work(hall))
@@ -209,7 +211,7 @@
     """Returns the runs that lapse as entries come back after a take-over."""
     store, hall = StoreStandin(), make_hall(4, _lasting)
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("watch", QUEUE, _watch(6))
+        await owner.job_api.submit("watch", QUEUE, _watch(6))
         await trio.sleep(owned_for)
     # After an outage of the store entries are missing for up to two seconds.
     hall.unlisted.update(hall.workers)
@@ -289,7 +291,7 @@
     owner: Owner, store: StoreStandin, hall: WorkerHall
 ) -> str:
     """Has an owner take a worker with tasks for one that left; returns it."""
-    await owner.desk.submit("watch", QUEUE, _watch(6))
+    await owner.job_api.submit("watch", QUEUE, _watch(6))
     await wait_until(lambda: count(hall.journal, "start") == 6)
     await trio.sleep(1.0)
     apart = _one_at_work(hall)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -27,7 +27,7 @@
 )
 from pimentocross.links.greeting import PeerIdentity
 from pimentocross.links.peer import PeerUnreachableError
-from pimentocross.owner.desk import Outcome
+from pimentocross.owner.job_api import Outcome
 from pimentocross.owner.owner import CellPlatform
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.worker_hall import WorkerHall
@@ -37,7 +37,7 @@
     CONFIG,
     QUEUE,
     chain,
-    find_twice,
+    find_overlapping_starts,
     make_hall,
     wait_until,
 )
@@ -121,7 +121,7 @@
         await wait_until(lambda: any(vm.owns for vm in vms))
         owner = next(vm for vm in vms if vm.owns)
         assert owner.election.owner is not None
-        await owner.election.owner.desk.submit("j1", QUEUE, chain(2, 1))
+        await owner.election.owner.job_api.submit("j1", QUEUE, chain(2, 1))
         scopes[owner.identity.name].cancel()
         died_at = trio.current_time()
         rest = [vm for vm in vms if vm is not owner]
@@ -129,8 +129,8 @@
         assert trio.current_time() - died_at < 3.0
         heir = next(vm for vm in rest if vm.owns)
         assert heir.election.owner is not None
-        assert heir.election.owner.desk.state("j1").outcome is Outcome.OK
-    assert not find_twice(hall.journal)
+        assert heir.election.owner.job_api.state("j1").outcome is Outcome.OK
+    assert not find_overlapping_starts(hall.journal)
 
 
 async def test_a_restarted_process_follows_its_own_former_self() -> None:
@@ -264,10 +264,10 @@
 
 
 async def _submitted_to(owner: _Owner) -> Answer:
-    desk = CallerDesk(FixedConfig(CONFIG), owner)
-    place = await desk.find("host", "/plans/j1")
+    job_api = CallerDesk(FixedConfig(CONFIG), owner)
+    place = await job_api.find("host", "/plans/j1")
     assert not isinstance(place, Answer)
-    return await desk.submit(place, chain(1, 1), 3.0)
+    return await job_api.submit(place, chain(1, 1), 3.0)
 
 
 async def test_a_successor_is_asked_for_what_its_predecessor_left_open() -> (
@@ -340,8 +340,8 @@
 
 
 async def test_an_unsure_owner_never_denies_a_job() -> None:
-    desk = CallerDesk(FixedConfig(CONFIG), _Owner(NotOwner("moved")))
-    answer = await desk.look("host", "/plans/j1", 3.0)
+    job_api = CallerDesk(FixedConfig(CONFIG), _Owner(NotOwner("moved")))
+    answer = await job_api.look("host", "/plans/j1", 3.0)
     assert answer.kind is AnswerKind.UNAVAILABLE
     assert AskState("j1").job == "j1"
 
@@ -357,41 +357,41 @@
 
 
 async def test_callers_are_told_while_they_still_wait() -> None:
-    desk = CallerDesk(FixedConfig(CONFIG), _SlowOwner(NotOwner("moved")))
-    place = await desk.find("host", "/plans/j1")
+    job_api = CallerDesk(FixedConfig(CONFIG), _SlowOwner(NotOwner("moved")))
+    place = await job_api.find("host", "/plans/j1")
     assert not isinstance(place, Answer)
     began = trio.current_time()
-    answer = await desk.submit(place, chain(1, 1), 3.0)
+    answer = await job_api.submit(place, chain(1, 1), 3.0)
     assert trio.current_time() - began < 3.0
     assert answer.kind is AnswerKind.UNKNOWN, "it may run"
     began = trio.current_time()
-    answer = await desk.cancel("host", "/plans/j1", 3.0)
+    answer = await job_api.cancel("host", "/plans/j1", 3.0)
     assert trio.current_time() - began < 3.0
     assert answer.kind is AnswerKind.UNKNOWN, "it may be cancelled"
 
 
 async def test_what_is_too_long_for_an_id_is_no_job_of_a_queue() -> None:
     # The store's keys have at most 255 bytes; a longer one can't be written.
-    desk = CallerDesk(FixedConfig(CONFIG), _Owner(NotOwner("moved")))
+    job_api = CallerDesk(FixedConfig(CONFIG), _Owner(NotOwner("moved")))
     for rest, taken in (("a" * 200, True), ("a" * 300, False)):
-        found = await desk.find("host", "/plans/" + rest)
+        found = await job_api.find("host", "/plans/" + rest)
         assert isinstance(found, Answer) is not taken, len(rest)
-    found = await desk.find("host", "/plans/" + "\xe9" * 200)
+    found = await job_api.find("host", "/plans/" + "\xe9" * 200)
     assert isinstance(found, Answer), "by its bytes"
 
 
 def test_readiness_follows_configuration_owner_and_drain() -> None:
     configs = FixedConfig(None)
     owner = _Owner(NotOwner(""), absent=0.0)
-    desk = CallerDesk(configs, owner)
-    assert not desk.ready()
+    job_api = CallerDesk(configs, owner)
+    assert not job_api.ready()
     configs.config = CONFIG
-    assert desk.ready()
+    assert job_api.ready()
     owner.absent = const.READY_WITHOUT_OWNER + 0.1
-    assert not desk.ready()
+    assert not job_api.ready()
     owner.absent = 0.0
-    desk.draining = True
-    assert not desk.ready()
+    job_api.draining = True
+    assert not job_api.ready()
 
 
 async def test_a_release_soon_after_a_silent_owner_is_not_quiet() -> None:
--- a/tests/test_given_up_starts.py
+++ b/tests/test_given_up_starts.py
@@ -14,7 +14,7 @@
     SMALL,
     ClosedZones,
     count,
-    find_twice,
+    find_overlapping_starts,
     life,
     make_hall,
     make_owner,
@@ -37,7 +37,7 @@
     zones.close("north")
     async with running(make_owner(store, hall, 1, zones=zones)) as owner:
         job = spec(StepSpec(1, SMALL, lasting=True))
-        await owner.desk.submit("watch", QUEUE, job)
+        await owner.job_api.submit("watch", QUEUE, job)
         await trio.sleep(1.0)
         store.faults.refused = {"a"}
         zones.open_all()
@@ -52,4 +52,6 @@
         store.faults.refused = set()
         await trio.sleep(3.0)
     assert count(hall.journal, "start"), "nothing began"
-    assert not find_twice(hall.journal), find_twice(hall.journal)
+    assert not find_overlapping_starts(hall.journal), find_overlapping_starts(
+        hall.journal
+    )
--- a/tests/test_hand_over.py
+++ b/tests/test_hand_over.py
@@ -19,8 +19,8 @@
 from pimentocross.gateway.owner_link import CREDENTIALS
 from pimentocross.links.greeting import PeerIdentity
 from pimentocross.links.peer import PeerListener, PeerUnreachableError
-from pimentocross.owner.desk import Outcome
 from pimentocross.owner.intake import TOPIC
+from pimentocross.owner.job_api import Outcome
 from pimentocross.standins.store import StoreStandin
 from pimentocross.work.state import JobState
 from tests.gateway_fixtures import FixedConfig
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -28,8 +28,8 @@
     SubmitJob,
 )
 from pimentocross.links.peer import PeerUnreachableError
-from pimentocross.owner.desk import Outcome
 from pimentocross.owner.intake import TOPIC, cancel_key, submission_key
+from pimentocross.owner.job_api import Outcome
 from pimentocross.owner.owner import Owner
 from pimentocross.standins.store import StoreClientStandin, StoreStandin
 from pimentocross.work import records
@@ -39,8 +39,8 @@
     CONFIG,
     QUEUE,
     chain,
-    find_again,
-    find_twice,
+    find_overlapping_starts,
+    find_starts_after_success,
     make_hall,
     make_owner,
     running,
@@ -351,7 +351,7 @@
 
 
 def _state(owner: Owner, job: str) -> JobState | None:
-    return owner.desk.state(job).state
+    return owner.job_api.state(job).state
 
 
 def _completed(owner: Owner, job: str) -> bool:
@@ -368,10 +368,10 @@
     store, hall = StoreStandin(), make_hall()
     await _store_submissions(store, "job1", "job2")
     async with running(make_owner(store, hall, 1)) as owner:
-        assert owner.desk.knows("job1"), "known as soon as it answers"
+        assert owner.job_api.knows("job1"), "known as soon as it answers"
         await wait_until(lambda: _completed(owner, "job2"))
         await wait_until(lambda: not _left(store))
-    assert not find_twice(hall.journal), "no task ran twice"
+    assert not find_overlapping_starts(hall.journal), "no task ran twice"
 
 
 async def test_an_owner_takes_up_what_vms_store_while_it_lives() -> None:
@@ -380,7 +380,7 @@
         await trio.sleep(5.0)
         stored_at = trio.current_time()
         await _store_submissions(store, "job1")
-        await wait_until(lambda: owner.desk.knows("job1"))
+        await wait_until(lambda: owner.job_api.knows("job1"))
         took = trio.current_time() - stored_at
         assert took < 1.0, f"before callers ask for it: {took:.2f} s"
 
@@ -388,7 +388,7 @@
 async def test_a_job_that_two_vms_stored_and_an_owner_knew_runs_once() -> None:
     store, hall = StoreStandin(), make_hall()
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("job1", QUEUE, chain())
+        await owner.job_api.submit("job1", QUEUE, chain())
         await _store_submissions(store, "job1")
         await _store_submissions(store, "job1")
         await wait_until(lambda: _completed(owner, "job1"))
@@ -396,7 +396,7 @@
         await _store_submissions(store, "job1")
         await wait_until(lambda: not _left(store))
         await trio.sleep(3.0)
-    assert not find_again(hall.journal), "no task ran again"
+    assert not find_starts_after_success(hall.journal), "no task ran again"
 
 
 async def test_a_store_slow_as_vms_put_up_with_is_read_by_owners_too() -> None:
@@ -404,10 +404,10 @@
     await _store_submissions(store, "job1")
     store.faults.delay = 0.8
     async with running(make_owner(store, hall, 1)) as owner:
-        assert owner.desk.knows("job1"), "known as soon as it answers"
+        assert owner.job_api.knows("job1"), "known as soon as it answers"
         await _store_submissions(store, "job2")
-        await wait_until(lambda: owner.desk.knows("job2"))
-        outcome = owner.desk.state("job9").outcome
+        await wait_until(lambda: owner.job_api.knows("job2"))
+        outcome = owner.job_api.state("job9").outcome
         assert outcome is Outcome.NO_SUCH_JOB, "the topic counts as read"
 
 
@@ -421,9 +421,9 @@
         next_owner = make_owner(store, hall, 2, vm="b", former_quiet=False)
         async with running(next_owner) as owner:
             for job in ("job1", "job2"):
-                assert owner.desk.knows(job), f"{job} after {moment} s"
+                assert owner.job_api.knows(job), f"{job} after {moment} s"
             await wait_until(lambda: _completed(owner, "job2"))
-        assert not find_twice(hall.journal), "no task ran twice"
+        assert not find_overlapping_starts(hall.journal), "no task ran twice"
 
 
 async def test_what_an_owner_can_not_read_stays_for_another_version() -> None:
@@ -464,10 +464,12 @@
 async def test_no_job_is_unknown_while_the_topic_can_not_be_read() -> None:
     store, hall = StoreStandin(), make_hall()
     async with running(make_owner(store, hall, 1)) as owner:
-        assert owner.desk.state("job9").outcome is Outcome.NO_SUCH_JOB, "known"
+        assert owner.job_api.state("job9").outcome is Outcome.NO_SUCH_JOB, (
+            "known"
+        )
         store.faults.refused.add("a")
         await trio.sleep(3.0)
-        assert owner.desk.state("job9").outcome is Outcome.STORE_AWAY, (
+        assert owner.job_api.state("job9").outcome is Outcome.STORE_AWAY, (
             "not known"
         )
 
@@ -491,7 +493,7 @@
         calls = store.calls
         async with trio.open_nursery() as nursery:
             for number in range(100):
-                nursery.start_soon(owner.learn_of, f"job{number}")
+                nursery.start_soon(owner.ensure_known, f"job{number}")
         assert store.calls - calls <= 5, f"{store.calls - calls} calls"
 
 
@@ -501,10 +503,10 @@
     switches = Switches(frozenset({Part.INTAKE}))
     owner = make_owner(store, hall, 1, switches=switches)
     async with running(owner):
-        await owner.learn_of("job1")
+        await owner.ensure_known("job1")
         await trio.sleep(3.0)
-        assert not owner.desk.knows("job1"), "not read"
-        outcome = owner.desk.state("job1").outcome
+        assert not owner.job_api.knows("job1"), "not read"
+        outcome = owner.job_api.state("job1").outcome
         assert outcome is Outcome.NO_SUCH_JOB, "as without the part"
 
 
--- a/tests/test_job_progress.py
+++ b/tests/test_job_progress.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from pimentocross.owner.jobs import JobBook
+from pimentocross.owner.jobs import JobRegistry
 from pimentocross.owner.ledger import Ledger
 from pimentocross.standins.store import StoreStandin
 from pimentocross.work import records
@@ -20,15 +20,17 @@
     ended: set[JobState] = set()
     for seed in range(_SEEDS):
         draw = random.Random(seed)
-        book = JobBook(Ledger(StoreStandin().client("a"), "jobs", "o", 1), 1.0)
+        registry = JobRegistry(
+            Ledger(StoreStandin().client("a"), "jobs", "o", 1), 1.0
+        )
         job = Job("j", QUEUE, _spec(draw), 0.0)
-        book.restore(job)
+        registry.restore(job)
         for _ in range(_CHANGES):
             _change(draw, draw.choice(list(job.tasks())))
             expected = _expected_state(job)
-            book.changed(job)
+            registry.changed(job)
             assert job.state is expected, seed
-            assert set(book.open_steps(1e12)) == _expected_open(job), seed
+            assert set(registry.ready_steps(1e12)) == _expected_open(job), seed
             _check_record(job)
             if job.ended:
                 break
--- a/tests/test_large_cell.py
+++ b/tests/test_large_cell.py
@@ -61,7 +61,7 @@
     async with running(_owner(hall)) as owner, trio.open_nursery() as nursery:
         for number in range(_LASTING_JOBS):
             job = f"last{number}"
-            await owner.desk.submit(job, QUEUE, lasting_job(number))
+            await owner.job_api.submit(job, QUEUE, lasting_job(number))
         await trio.sleep(3.0)
         nursery.start_soon(_note_lateness, late)
         nursery.start_soon(_have_leave, hall, leaving)
@@ -103,9 +103,9 @@
     while (passed := trio.current_time() - began) < _SECONDS:
         while filling < passed * _FILLING_RATE:
             job = f"fill{filling}"
-            await owner.desk.submit(job, QUEUE, filling_job(filling))
+            await owner.job_api.submit(job, QUEUE, filling_job(filling))
             filling += 1
         while quick < passed * _QUICK_RATE:
-            await owner.desk.submit(f"quick{quick}", QUEUE, quick_job())
+            await owner.job_api.submit(f"quick{quick}", QUEUE, quick_job())
             quick += 1
         await trio.sleep(0.05)
--- a/tests/test_large_restarts.py
+++ b/tests/test_large_restarts.py
@@ -14,10 +14,10 @@
 from tests.owner_fixtures import (
     CONFIG,
     QUEUE,
-    crashed_under,
-    find_again,
+    crashed_twice_under,
     find_crash_loops,
-    find_twice,
+    find_overlapping_starts,
+    find_starts_after_success,
     running,
 )
 from tests.slow_vm import (
@@ -87,11 +87,13 @@
     owner = Owner(Claim("jobs", 1, True), platform, lambda: CONFIG)
     async with running(owner), trio.open_nursery() as nursery:
         for number in range(_LASTING_JOBS):
-            await owner.desk.submit(f"last{number}", QUEUE, lasting_job(number))
+            await owner.job_api.submit(
+                f"last{number}", QUEUE, lasting_job(number)
+            )
         await trio.sleep(2.0)
         nursery.start_soon(_Machines(clock, hall).run)
         for number in range(_CRASHING_JOBS):
-            await owner.desk.submit(f"crash{number}", QUEUE, quick_job())
+            await owner.job_api.submit(f"crash{number}", QUEUE, quick_job())
         quick = await _bring_jobs(owner)
         await trio.sleep(_ENDED_AFTER)
         crashing = _states(owner, "crash", _CRASHING_JOBS)
@@ -101,13 +103,13 @@
         lost = [
             job
             for job in (f"quick{number}" for number in range(quick))
-            if owner.desk.state(job).state is JobState.FAILED
-            and not crashed_under(hall.journal, job)
+            if owner.job_api.state(job).state is JobState.FAILED
+            and not crashed_twice_under(hall.journal, job)
         ]
         nursery.cancel_scope.cancel()
     assert not find_crash_loops(hall.journal)
-    assert not find_twice(hall.journal)
-    assert not find_again(hall.journal)
+    assert not find_overlapping_starts(hall.journal)
+    assert not find_starts_after_success(hall.journal)
     assert set(crashing) == {JobState.FAILED}, crashing
     assert set(lasting) == {JobState.RUNNING}, lasting
     assert not lost, lost
@@ -118,8 +120,8 @@
     """Submits short and filling jobs; returns how many short ones."""
     number = 0
     while number < _SECONDS * _JOBS_A_SECOND:
-        await owner.desk.submit(f"quick{number}", QUEUE, quick_job())
-        await owner.desk.submit(f"fill{number}", QUEUE, filling_job(number))
+        await owner.job_api.submit(f"quick{number}", QUEUE, quick_job())
+        await owner.job_api.submit(f"fill{number}", QUEUE, filling_job(number))
         number += 1
         await trio.sleep(1 / _JOBS_A_SECOND)
     return number
@@ -127,7 +129,7 @@
 
 def _states(owner: Owner, kind: str, count: int) -> Counter[JobState | None]:
     return Counter(
-        owner.desk.state(f"{kind}{number}").state for number in range(count)
+        owner.job_api.state(f"{kind}{number}").state for number in range(count)
     )
 
 
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -23,8 +23,8 @@
     QUEUE,
     SMALL,
     count,
-    find_again,
-    find_twice,
+    find_overlapping_starts,
+    find_starts_after_success,
     life,
     make_hall,
     make_owner,
@@ -57,12 +57,16 @@
 
 
 def _is_done(owner: Owner, job: str) -> bool:
-    return owner.desk.state(job).state is JobState.COMPLETED
+    return owner.job_api.state(job).state is JobState.COMPLETED
 
 
 def _check(hall: WorkerHall) -> None:
-    assert not find_twice(hall.journal), find_twice(hall.journal)
-    assert not find_again(hall.journal), find_again(hall.journal)
+    assert not find_overlapping_starts(hall.journal), find_overlapping_starts(
+        hall.journal
+    )
+    assert not find_starts_after_success(hall.journal), (
+        find_starts_after_success(hall.journal)
+    )
 
 
 async def _submit_late(owner: Owner, hall: WorkerHall) -> float:
@@ -70,7 +74,7 @@
     # All have listed what runs: what isn't answered is the start.
     await trio.sleep(0.5)
     with _late_orders(hall):
-        await owner.desk.submit("job", QUEUE, _ONE)
+        await owner.job_api.submit("job", QUEUE, _ONE)
         await trio.sleep(0.1)
     return trio.current_time()
 
@@ -104,7 +108,7 @@
     async with running(make_owner(StoreStandin(), hall, 1)) as owner:
         await trio.sleep(0.5)
         with _late_orders(hall):
-            await owner.desk.submit("last", QUEUE, _LASTING)
+            await owner.job_api.submit("last", QUEUE, _LASTING)
             await trio.sleep(0.1)
         await wait_until(
             lambda: count(hall.journal, "start") == 1,
@@ -112,7 +116,7 @@
         )
         await trio.sleep(const.LATE_START_MOST)
         assert count(hall.journal, "start") == 1
-        assert owner.desk.state("last").state is JobState.RUNNING
+        assert owner.job_api.state("last").state is JobState.RUNNING
     _check(hall)
 
 
@@ -124,7 +128,7 @@
         await trio.sleep(0.5)
         twice = spec(StepSpec(1, SMALL, 0.5, copies=True))
         with _late_orders(hall):
-            await owner.desk.submit("job", QUEUE, twice)
+            await owner.job_api.submit("job", QUEUE, twice)
             await trio.sleep(0.1)
         sent_at = trio.current_time()
         await wait_until(lambda: _is_done(owner, "job"))
@@ -140,7 +144,7 @@
     async with running(make_owner(StoreStandin(), hall, 1)) as owner:
         await trio.sleep(0.5)
         with _late_orders(hall):
-            await owner.desk.submit("last", QUEUE, _LASTING)
+            await owner.job_api.submit("last", QUEUE, _LASTING)
             await trio.sleep(0.1)
         sent_at = trio.current_time()
         await wait_until(lambda: count(hall.journal, "start") == 1)
@@ -185,7 +189,7 @@
         for worker in hall.workers.values():
             worker.crash()
             worker.down = True
-        await owner.desk.submit("job", QUEUE, _ONE)
+        await owner.job_api.submit("job", QUEUE, _ONE)
         await trio.sleep(0.1)
         for worker in hall.workers.values():
             worker.restart()
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -11,7 +11,7 @@
 from pimentocross.contracts.worker_link import WorkerLife
 from pimentocross.owner import wall
 from pimentocross.owner.arranger import Arranger
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.placement.demand import Demand
 from pimentocross.placement.disturbance import Disturbance, PairEstimate
 from pimentocross.placement.host import best_effort_cpu_limit
@@ -35,7 +35,7 @@
 from tests import run_virtual
 from tests.owner_fixtures import (
     QUEUE,
-    ROOM,
+    WORKER_CAPACITY,
     life,
     make_hall,
     make_owner,
@@ -88,7 +88,9 @@
 
     @property
     def free(self) -> Size:
-        return ROOM.minus(Size(_SERVING_SIZE.cpu * len(self.tasks), 0, 0))
+        return WORKER_CAPACITY.minus(
+            Size(_SERVING_SIZE.cpu * len(self.tasks), 0, 0)
+        )
 
     def count_of(self, step: Step) -> int:
         return sum(task.step is step for task in self.tasks)
@@ -290,7 +292,7 @@
 async def _run_cell(hall: WorkerHall) -> None:
     """Fills two workers with mixed serving tasks, then best-effort ones."""
     store = StoreStandin()
-    learned = Learned()
+    learned = LearnedEstimates()
     learned.disturbance.restore(
         [PairEstimate("a", "x", 8.0, 0.1), PairEstimate("b", "y", 8.0, 0.1)],
         0.0,
@@ -308,13 +310,13 @@
                 for image in "ab":
                     job = f"{image}{number}"
                     step = _serving(image, width=2)
-                    await owner.desk.submit(job, QUEUE, spec(step))
+                    await owner.job_api.submit(job, QUEUE, spec(step))
                 await trio.sleep(4.0)
             for image in "xy":
                 best_effort = StepSpec(
                     3, _BEST_EFFORT_SIZE, 1.0, image=image, fills=True
                 )
-                await owner.desk.submit(
+                await owner.job_api.submit(
                     f"fill-{image}", QUEUE, spec(best_effort)
                 )
             await trio.sleep(8.0)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -10,15 +10,15 @@
 
 import trio
 
-from pimentocross.owner.ledger import Ledger, PlainRecord
+from pimentocross.owner.ledger import LazyRecord, Ledger
 from pimentocross.standins.store import StoreStandin
 
 # Callers of short jobs want them started within this, in seconds.
 _START_WITHIN = 1.0
 
 
-def _record(key: str) -> PlainRecord:
-    return PlainRecord(key, lambda: b"value")
+def _record(key: str) -> LazyRecord:
+    return LazyRecord(key, lambda: b"value")
 
 
 async def test_records_are_stored_in_time_after_an_outage() -> None:
--- a/tests/test_listing_pace.py
+++ b/tests/test_listing_pace.py
@@ -13,7 +13,7 @@
 
 from bench.large_jobs import lasting_job
 from pimentocross.owner import const
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.owner.owner import CellPlatform, Claim, Owner
 from pimentocross.owner.worker import Worker
 from pimentocross.standins.store import StoreStandin
@@ -46,19 +46,19 @@
     platform = CellPlatform(StoreStandin().client("a"), access, access)
     owner = Owner(Claim("jobs", 1, True), platform, lambda: CONFIG)
     listed = 0
-    real = Learned.on_listed
+    real = LearnedEstimates.on_listed
 
-    def charged(self: Learned, worker: Worker) -> None:
+    def charged(self: LearnedEstimates, worker: Worker) -> None:
         nonlocal listed
         listed += 1
         clock.charge(_LISTING_COST / clock.factor)
         real(self, worker)
 
-    with mock.patch.object(Learned, "on_listed", charged):
+    with mock.patch.object(LearnedEstimates, "on_listed", charged):
         async with running(owner):
             for number in range(_JOBS):
                 job = f"last{number}"
-                await owner.desk.submit(job, QUEUE, lasting_job(number))
+                await owner.job_api.submit(job, QUEUE, lasting_job(number))
             await trio.sleep(6.0)
             before = listed
             await trio.sleep(_SECONDS)
--- a/tests/test_lived_runs.py
+++ b/tests/test_lived_runs.py
@@ -80,7 +80,7 @@
     store, hall = StoreStandin(), make_hall(2, _plan)
     async with running(make_owner(store, hall, 1)) as owner:
         watch = spec(StepSpec(2, SMALL, lasting=True))
-        await owner.desk.submit("watch", QUEUE, watch)
+        await owner.job_api.submit("watch", QUEUE, watch)
         await wait_until(lambda: count(hall.journal, "start") == 2)
         await trio.sleep(1.5)
         page = await store.client("a").newest("jobs", 1.0)
--- a/tests/test_new_workers.py
+++ b/tests/test_new_workers.py
@@ -10,7 +10,7 @@
 
 from pimentocross.contracts.store import Record
 from pimentocross.owner import wall
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.owner.owner import Owner
 from pimentocross.placement.disturbance import PairEstimate
 from pimentocross.standins.store import StoreStandin
@@ -57,13 +57,13 @@
         job = f"fill{len(sent)}"
         sent[job] = trio.current_time()
         step = StepSpec(_WIDTH, _FILLER, _FILLER_SECONDS, image="x", fills=True)
-        await owner.desk.submit(job, QUEUE, spec(step))
+        await owner.job_api.submit(job, QUEUE, spec(step))
         await trio.sleep(_ARRIVALS)
 
 
 async def _play(hall: WorkerHall, sent: dict[str, float]) -> float:
     """Returns when the new workers came."""
-    store, learned = StoreStandin(), Learned()
+    store, learned = StoreStandin(), LearnedEstimates()
     learned.disturbance.restore([PairEstimate("serves", "x", 0.0, 0.01)], 0.0)
     record = Record(records.LEARNED, learned.encode())
     await store.client("a").append("jobs", [record], 1.0)
@@ -79,7 +79,7 @@
                 image="serves",
                 target_tail=20,
             )
-            await owner.desk.submit("serves", QUEUE, spec(serves))
+            await owner.job_api.submit("serves", QUEUE, spec(serves))
             await trio.sleep(3.0)
             nursery.start_soon(_submit_fillers, owner, sent)
             await trio.sleep(_CROWDED)
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -8,7 +8,7 @@
 from pimentocross.contracts.store import FencedError, Record
 from pimentocross.observe import decisions
 from pimentocross.owner import const
-from pimentocross.owner.desk import Outcome
+from pimentocross.owner.job_api import Outcome
 from pimentocross.owner.keeper import Keeper
 from pimentocross.owner.terms import OwnerTerms, make_terms
 from pimentocross.standins.store import StoreStandin
@@ -25,8 +25,8 @@
     SMALL,
     chain,
     count,
-    find_again,
-    find_twice,
+    find_overlapping_starts,
+    find_starts_after_success,
     life,
     make_hall,
     make_owner,
@@ -39,7 +39,7 @@
 
 
 def _ended(owner: object, job: str) -> bool:
-    return owner.desk.state(job).state in (  # type: ignore[attr-defined]
+    return owner.job_api.state(job).state in (  # type: ignore[attr-defined]
         JobState.COMPLETED,
         JobState.FAILED,
     )
@@ -48,10 +48,10 @@
 async def test_a_job_runs_each_task_once_in_the_order_of_its_steps() -> None:
     store, hall = StoreStandin(), make_hall()
     async with running(make_owner(store, hall, 1)) as owner:
-        reply = await owner.desk.submit("j1", QUEUE, chain(3, 2))
+        reply = await owner.job_api.submit("j1", QUEUE, chain(3, 2))
         assert reply.outcome is Outcome.OK
         await wait_until(lambda: _ended(owner, "j1"))
-        assert owner.desk.state("j1").state is JobState.COMPLETED
+        assert owner.job_api.state("j1").state is JobState.COMPLETED
     starts = [e for e in hall.journal if e.what == "start"]
     assert len(starts) == 6
     first_done = max(
@@ -64,10 +64,10 @@
     store, hall = StoreStandin(), make_hall()
     async with running(make_owner(store, hall, 1)) as owner:
         for _ in range(3):
-            reply = await owner.desk.submit("j1", QUEUE, chain(2, 1))
+            reply = await owner.job_api.submit("j1", QUEUE, chain(2, 1))
             assert reply.outcome is Outcome.OK
         await wait_until(lambda: _ended(owner, "j1"))
-        await owner.desk.submit("j1", QUEUE, chain(2, 1))
+        await owner.job_api.submit("j1", QUEUE, chain(2, 1))
         await trio.sleep(2)
     assert count(hall.journal, "start") == 2
 
@@ -76,7 +76,7 @@
     store = StoreStandin()
     hall = make_hall(plan=lambda _: TaskPlan(3.0, SMALL))
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("j1", QUEUE, chain(4, 1))
+        await owner.job_api.submit("j1", QUEUE, chain(4, 1))
         await wait_until(lambda: count(hall.journal, "start") == 4)
     async with running(make_owner(store, hall, 2, vm="b")) as owner:
         await wait_until(lambda: _ended(owner, "j1"))
@@ -87,34 +87,34 @@
 async def test_an_accepted_job_outlives_its_owner_at_once() -> None:
     store, hall = StoreStandin(), make_hall()
     async with running(make_owner(store, hall, 1)) as owner:
-        reply = await owner.desk.submit("j1", QUEUE, chain(2, 1))
+        reply = await owner.job_api.submit("j1", QUEUE, chain(2, 1))
         assert reply.outcome is Outcome.OK
     async with running(make_owner(store, hall, 2, vm="b")) as owner:
         await wait_until(lambda: _ended(owner, "j1"))
-    assert not find_twice(hall.journal)
-    assert not find_again(hall.journal)
+    assert not find_overlapping_starts(hall.journal)
+    assert not find_starts_after_success(hall.journal)
 
 
 async def test_without_the_store_jobs_are_refused_and_work_goes_on() -> None:
     store = StoreStandin()
     hall = make_hall(plan=lambda _: TaskPlan(5.0, SMALL))
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("j1", QUEUE, chain(4, 1))
+        await owner.job_api.submit("j1", QUEUE, chain(4, 1))
         await wait_until(lambda: count(hall.journal, "start") == 4)
         store.faults.away = True
         await trio.sleep(const.BEAT_INTERVAL + const.AWAY_AFTER + 0.2)
         asked_at = trio.current_time()
-        reply = await owner.desk.submit("j2", QUEUE, chain(1, 1))
+        reply = await owner.job_api.submit("j2", QUEUE, chain(1, 1))
         assert reply.outcome is Outcome.STORE_AWAY
         assert trio.current_time() - asked_at < 0.1
         await trio.sleep(6)
         # Ends are not shown before they are recorded.
-        assert owner.desk.state("j1").state is JobState.RUNNING
+        assert owner.job_api.state("j1").state is JobState.RUNNING
         store.faults.away = False
         await wait_until(lambda: _ended(owner, "j1"))
         # As entry VMs ask: one of them may have stored it meanwhile.
-        assert await owner.learn_of("j2")
-        assert owner.desk.state("j2").outcome is Outcome.NO_SUCH_JOB
+        assert await owner.ensure_known("j2")
+        assert owner.job_api.state("j2").outcome is Outcome.NO_SUCH_JOB
     assert count(hall.journal, "lapsed") == 0
     assert count(hall.journal, "start") == 4
 
@@ -126,19 +126,19 @@
     async with running(make_owner(store, hall, 1)) as owner:
         store.faults.away = True
         asked_at = trio.current_time()
-        reply = await owner.desk.submit("j1", QUEUE, chain(1, 1))
+        reply = await owner.job_api.submit("j1", QUEUE, chain(1, 1))
         assert reply.outcome is Outcome.UNSURE
         assert 1.0 < trio.current_time() - asked_at < 1.5
         asked_at = trio.current_time()
-        again = await owner.desk.submit("j1", QUEUE, chain(1, 1))
+        again = await owner.job_api.submit("j1", QUEUE, chain(1, 1))
         assert again.outcome is Outcome.UNSURE
         assert 1.0 < trio.current_time() - asked_at < 1.5
-        other = await owner.desk.submit("j2", QUEUE, chain(1, 1))
+        other = await owner.job_api.submit("j2", QUEUE, chain(1, 1))
         assert other.outcome is Outcome.STORE_AWAY
         await trio.sleep(3)
         store.faults.away = False
         await trio.sleep(1)
-        again = await owner.desk.submit("j1", QUEUE, chain(1, 1))
+        again = await owner.job_api.submit("j1", QUEUE, chain(1, 1))
         assert again.outcome is Outcome.OK
         await wait_until(lambda: _ended(owner, "j1"))
     assert count(hall.journal, "start") == 1
@@ -151,15 +151,15 @@
     async with running(make_owner(store, hall, 1)) as owner:
         store.faults.refused.add("a")
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(owner.desk.submit, "j0", QUEUE, chain(1, 1))
+            nursery.start_soon(owner.job_api.submit, "j0", QUEUE, chain(1, 1))
             await trio.sleep(0.5)
             asked_at = trio.current_time()
-            reply = await owner.desk.submit("j1", QUEUE, chain(1, 1))
+            reply = await owner.job_api.submit("j1", QUEUE, chain(1, 1))
             assert reply.outcome is Outcome.STORE_AWAY
             assert trio.current_time() - asked_at < 0.05
             store.faults.refused.clear()
         await trio.sleep(0.5)
-        again = await owner.desk.submit("j1", QUEUE, chain(1, 1))
+        again = await owner.job_api.submit("j1", QUEUE, chain(1, 1))
         assert again.outcome is Outcome.OK
 
 
@@ -167,11 +167,11 @@
     store = StoreStandin()
     hall = make_hall(1, plan=lambda _: TaskPlan(9.0, SMALL))
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("j1", QUEUE, chain(1, 1))
+        await owner.job_api.submit("j1", QUEUE, chain(1, 1))
         await wait_until(lambda: count(hall.journal, "start") == 1)
         store.faults.away = True
         await trio.sleep(const.BEAT_INTERVAL + const.AWAY_AFTER + 0.2)
-        again = await owner.desk.submit("j1", QUEUE, chain(1, 1))
+        again = await owner.job_api.submit("j1", QUEUE, chain(1, 1))
         assert again.outcome is Outcome.OK
 
 
@@ -180,15 +180,15 @@
     async with running(make_owner(store, hall, 1)) as owner:
         store.faults.refused.add("a")
         await trio.sleep(const.CURRENT_WITHIN + const.BEAT_INTERVAL + 0.1)
-        assert owner.desk.state("unknown").outcome is Outcome.STORE_AWAY
-        assert owner.desk.pending("plans") is None
+        assert owner.job_api.state("unknown").outcome is Outcome.STORE_AWAY
+        assert owner.job_api.pending("plans") is None
 
 
 async def test_a_crashed_workers_tasks_start_again_once_it_is_back() -> None:
     store = StoreStandin()
     hall = make_hall(2, plan=lambda _: TaskPlan(4.0, SMALL))
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("j1", QUEUE, chain(6, 1))
+        await owner.job_api.submit("j1", QUEUE, chain(6, 1))
         await wait_until(lambda: count(hall.journal, "start") == 6)
         crashed_at = trio.current_time()
         crashed = hall.workers.pop("w0-0")
@@ -199,14 +199,14 @@
         await wait_until(lambda: count(hall.journal, "start") == 6 + lost)
         assert trio.current_time() - crashed_at < 1.5
         await wait_until(lambda: _ended(owner, "j1"))
-    assert not find_twice(hall.journal)
+    assert not find_overlapping_starts(hall.journal)
 
 
 async def test_a_silent_workers_tasks_wait_for_its_lease() -> None:
     store = StoreStandin()
     hall = make_hall(2, plan=lambda _: TaskPlan(20.0, SMALL))
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("j1", QUEUE, chain(4, 1))
+        await owner.job_api.submit("j1", QUEUE, chain(4, 1))
         await wait_until(lambda: count(hall.journal, "start") == 4)
         await trio.sleep(1)
         victim = hall.journal[0].worker
@@ -245,9 +245,9 @@
     store = StoreStandin()
     hall = make_hall(plan=lambda _: TaskPlan(0.2, SMALL, fails=True))
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("j1", QUEUE, chain(1, 1))
+        await owner.job_api.submit("j1", QUEUE, chain(1, 1))
         await wait_until(lambda: _ended(owner, "j1"))
-        assert owner.desk.state("j1").state is JobState.FAILED
+        assert owner.job_api.state("j1").state is JobState.FAILED
     assert count(hall.journal, "start") == QUEUE.attempts
 
 
@@ -258,10 +258,10 @@
     async with running(make_owner(store, hall, 1)) as owner:
         jobs = [f"j{n}" for n in range(12)]
         for job in jobs:
-            await owner.desk.submit(job, QUEUE, chain(2, 2))
+            await owner.job_api.submit(job, QUEUE, chain(2, 2))
             await trio.sleep(0.1)
         await wait_until(lambda: all(_ended(owner, job) for job in jobs))
-        states = {owner.desk.state(job).state for job in jobs}
+        states = {owner.job_api.state(job).state for job in jobs}
         assert states == {JobState.COMPLETED}
     failed = count(hall.journal, "failed")
     assert failed < 12, failed
@@ -272,26 +272,26 @@
     hall = make_hall(3, plan=lambda _: TaskPlan(1.0, SMALL))
     hall.workers["w0-0"].faults.hangs = True
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("j1", QUEUE, chain(12, 1))
+        await owner.job_api.submit("j1", QUEUE, chain(12, 1))
         await wait_until(lambda: _ended(owner, "j1"), timeout=12)
-    assert not find_twice(hall.journal)
+    assert not find_overlapping_starts(hall.journal)
 
 
 async def test_a_cancelled_job_stops_and_never_starts_again() -> None:
     store = StoreStandin()
     hall = make_hall(plan=lambda _: TaskPlan(60.0, SMALL))
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("j1", QUEUE, chain(4, 1))
+        await owner.job_api.submit("j1", QUEUE, chain(4, 1))
         await wait_until(lambda: count(hall.journal, "start") == 4)
-        await owner.desk.cancel("j1")
+        await owner.job_api.cancel("j1")
         cancelled_at = trio.current_time()
         await wait_until(lambda: count(hall.journal, "stopped") == 4)
         assert trio.current_time() - cancelled_at < 0.5
         await trio.sleep(3)
         # The same submission, arriving late, does not revive it.
-        await owner.desk.submit("j1", QUEUE, chain(4, 1))
+        await owner.job_api.submit("j1", QUEUE, chain(4, 1))
         await trio.sleep(2)
-        assert owner.desk.state("j1").state is JobState.CANCELLED
+        assert owner.job_api.state("j1").state is JobState.CANCELLED
     assert count(hall.journal, "start") == 4
 
 
@@ -302,7 +302,7 @@
         store.faults.delay = 0.4
         before = decisions.counts()["run_decided"]
         owner.release()
-        await owner.desk.submit("j1", QUEUE, chain(2, 1))
+        await owner.job_api.submit("j1", QUEUE, chain(2, 1))
         await trio.sleep(2.0)
         assert decisions.counts()["run_decided"] == before
     async with running(make_owner(store, hall, 2)):
@@ -313,7 +313,7 @@
     # LOST: the worker then left, and its task's lease was waited for.
     store, hall = StoreStandin(), make_hall(2, plan=lambda _: _FAILS_SOON)
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("j1", QUEUE, chain(1, 1))
+        await owner.job_api.submit("j1", QUEUE, chain(1, 1))
         await wait_until(lambda: count(hall.journal, "start") == 1)
         store.faults.delay = 0.4
         # Its end comes while the last records are on their way.
@@ -337,12 +337,12 @@
     former = make_owner(store, hall, 1)
     async with running(former):
         async with running(make_owner(store, hall, 2, vm="b")) as owner:
-            await owner.desk.submit("j1", QUEUE, chain(1, 1))
+            await owner.job_api.submit("j1", QUEUE, chain(1, 1))
             with trio.fail_after(const.UNSURE_AFTER + 0.3):
-                reply = await former.desk.submit("late", QUEUE, chain(1, 1))
+                reply = await former.job_api.submit("late", QUEUE, chain(1, 1))
             assert reply.outcome is Outcome.UNSURE
             await wait_until(lambda: _ended(owner, "j1"))
-            assert owner.desk.state("late").outcome is Outcome.NO_SUCH_JOB
+            assert owner.job_api.state("late").outcome is Outcome.NO_SUCH_JOB
     assert {e.task.job for e in hall.journal} == {"j1"}
 
 
@@ -364,7 +364,7 @@
         "jobs", [Record("jbad", b"\xc1"), Record("pj1", b"\x90")], 1.0
     )
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("j1", QUEUE, chain(1, 1))
+        await owner.job_api.submit("j1", QUEUE, chain(1, 1))
         await wait_until(lambda: _ended(owner, "j1"))
 
 
@@ -372,9 +372,9 @@
     store, hall = StoreStandin(), make_hall(1)
     store.faults.delay = 0.4
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("j1", QUEUE, chain(3, 2))
+        await owner.job_api.submit("j1", QUEUE, chain(3, 2))
         await wait_until(lambda: _ended(owner, "j1"), timeout=60)
-    assert not find_twice(hall.journal)
+    assert not find_overlapping_starts(hall.journal)
 
 
 def test_a_task_name_is_spelled_by_its_parts() -> None:
@@ -402,7 +402,7 @@
     with mock.patch.object(Keeper, "_note_endings", never_noted):
         for epoch in range(1, QUEUE.attempts + 2):
             async with running(make_owner(store, hall, epoch)) as owner:
-                await owner.desk.submit("j1", QUEUE, chain(1, 1))
+                await owner.job_api.submit("j1", QUEUE, chain(1, 1))
                 await trio.sleep(2)
-                assert owner.desk.state("j1").state is JobState.RUNNING
+                assert owner.job_api.state("j1").state is JobState.RUNNING
     assert count(hall.journal, "failed") == 1
--- a/tests/test_owner_chaos.py
+++ b/tests/test_owner_chaos.py
@@ -16,8 +16,8 @@
 from pimentocross.contracts.store import Record, StoreUnavailableError
 from pimentocross.contracts.worker_link import WorkerLife
 from pimentocross.owner import wall
-from pimentocross.owner.desk import Outcome
 from pimentocross.owner.intake import TOPIC, cancel_key, submission_key
+from pimentocross.owner.job_api import Outcome
 from pimentocross.owner.owner import Owner
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.supervisor import Supervisor
@@ -38,16 +38,16 @@
     ClosedZones,
     OwnerEndedError,
     chain,
-    crashed_under,
-    find_again,
+    crashed_twice_under,
     find_crash_loops,
-    find_over_budget,
-    find_twice,
+    find_overlapping_starts,
+    find_starts_after_success,
+    find_starts_over_attempts,
     life,
     make_hall,
     make_owner,
-    ran_out,
     running,
+    used_all_attempts,
 )
 
 # Each of these runs in about a second; `python -m tests.owner_chaos` is not
@@ -119,7 +119,7 @@
             crashing = self.random.random() < _CRASHING
             job = f"{'crash' if crashing else 'j'}{self._submitted}"
             with trio.move_on_after(2.0):
-                reply = await owner.desk.submit(job, QUEUE, chain(3, 2))
+                reply = await owner.job_api.submit(job, QUEUE, chain(3, 2))
                 if reply.outcome is Outcome.OK:
                     self.accepted.add(job)
 
@@ -270,11 +270,11 @@
     async with running(owner):
         with trio.move_on_after(_SETTLE):
             while not all(
-                owner.desk.state(job).state in TERMINAL
+                owner.job_api.state(job).state in TERMINAL
                 for job in world.accepted
             ):
                 await trio.sleep(0.05)
-        states = {job: owner.desk.state(job).state for job in world.accepted}
+        states = {job: owner.job_api.state(job).state for job in world.accepted}
     for worker in world.hall.workers.values():
         worker.listing()
     return states
@@ -287,9 +287,18 @@
         world.hall.journal, key=lambda e: (e.at, e.what == "start")
     )
     assert world.accepted
-    assert not find_twice(journal), (seed, find_twice(journal)[:3])
-    assert not find_again(journal), (seed, find_again(journal)[:3])
-    assert not find_over_budget(journal), (seed, find_over_budget(journal)[:3])
+    assert not find_overlapping_starts(journal), (
+        seed,
+        find_overlapping_starts(journal)[:3],
+    )
+    assert not find_starts_after_success(journal), (
+        seed,
+        find_starts_after_success(journal)[:3],
+    )
+    assert not find_starts_over_attempts(journal), (
+        seed,
+        find_starts_over_attempts(journal)[:3],
+    )
     assert not find_crash_loops(journal), (seed, find_crash_loops(journal)[:3])
     in_closed = [
         event
@@ -308,7 +317,8 @@
     without_cause = [
         job
         for job in failed
-        if not ran_out(journal, job) and not crashed_under(journal, job)
+        if not used_all_attempts(journal, job)
+        and not crashed_twice_under(journal, job)
     ]
     assert not without_cause, (seed, without_cause)
 
--- a/tests/test_owner_lateness.py
+++ b/tests/test_owner_lateness.py
@@ -24,7 +24,13 @@
 from pimentocross.owner.owner import CellPlatform, Claim, Owner
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import RunEvent
-from tests.owner_fixtures import CONFIG, QUEUE, count, find_twice, running
+from tests.owner_fixtures import (
+    CONFIG,
+    QUEUE,
+    count,
+    find_overlapping_starts,
+    running,
+)
 from tests.slow_vm import (
     ChargingClock,
     LargeHall,
@@ -124,7 +130,7 @@
         while count(hall.journal, "start") < starts + on_it:
             await trio.sleep(0.05)
     _list_all(hall)
-    assert not find_twice(sorted(hall.journal, key=_when))
+    assert not find_overlapping_starts(sorted(hall.journal, key=_when))
 
 
 def _when(event: RunEvent) -> tuple[float, bool]:
@@ -158,7 +164,9 @@
     owner = Owner(Claim("jobs", 1, True), platform, lambda: CONFIG)
     async with running(owner), trio.open_nursery() as nursery:
         for number in range(_JOBS):
-            await owner.desk.submit(f"last{number}", QUEUE, lasting_job(number))
+            await owner.job_api.submit(
+                f"last{number}", QUEUE, lasting_job(number)
+            )
         with trio.fail_after(10.0):
             while count(hall.journal, "start") < 14 * _JOBS:
                 await trio.sleep(0.1)
--- a/tests/test_owner_steps.py
+++ b/tests/test_owner_steps.py
@@ -42,7 +42,7 @@
 
 
 def _ended(owner: object, job: str) -> bool:
-    return owner.desk.state(job).state in (  # type: ignore[attr-defined]
+    return owner.job_api.state(job).state in (  # type: ignore[attr-defined]
         JobState.COMPLETED,
         JobState.FAILED,
     )
@@ -53,9 +53,9 @@
     hall = make_hall(plan=lambda _: TaskPlan(2.0, SMALL, fails=True))
     step = StepSpec(2, SMALL, lasting=True)
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("w1", QUEUE, spec(step))
+        await owner.job_api.submit("w1", QUEUE, spec(step))
         await wait_until(lambda: count(hall.journal, "start") >= 10)
-        assert owner.desk.state("w1").state is JobState.RUNNING
+        assert owner.job_api.state("w1").state is JobState.RUNNING
 
 
 async def test_room_kept_for_short_work_does_not_hold_lasting_tasks_long() -> (
@@ -71,12 +71,12 @@
         ),
     )
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("short", QUEUE, chain(4, 1))
+        await owner.job_api.submit("short", QUEUE, chain(4, 1))
         await wait_until(lambda: _ended(owner, "short"))
         many = StepSpec(14, SMALL, lasting=True)
-        await owner.desk.submit("w1", QUEUE, spec(many))
+        await owner.job_api.submit("w1", QUEUE, spec(many))
         await wait_until(lambda: count(hall.journal, "start") == 4 + 14)
-        await owner.desk.submit("w2", QUEUE, spec(many._replace(width=2)))
+        await owner.job_api.submit("w2", QUEUE, spec(many._replace(width=2)))
         asked_at = trio.current_time()
         await wait_until(lambda: count(hall.journal, "start") == 4 + 16)
         assert 2.0 < trio.current_time() - asked_at < 4.0
@@ -112,7 +112,7 @@
     adviser = _Adviser(failing=2)
     owner = make_owner(store, hall, 1, config=config, adviser=adviser)
     async with running(owner):
-        await owner.desk.submit("j1", queue, chain(12, 2))
+        await owner.job_api.submit("j1", queue, chain(12, 2))
         await wait_until(lambda: _ended(owner, "j1"))
     assert {e.worker for e in hall.journal} == {"w1-0", "w3-0"}
     assert adviser.calls <= 6, adviser.calls
@@ -123,7 +123,7 @@
     timed = JobSpec("x", chain(2, 1).steps, 3, first_due=5.0, interval=4.0)
     with mock.patch.object(wall, "now", trio.current_time):
         async with running(make_owner(store, hall, 1)) as owner:
-            await owner.desk.submit("j1", QUEUE, timed)
+            await owner.job_api.submit("j1", QUEUE, timed)
             await wait_until(lambda: _ended(owner, "j1"))
     starts = sorted(e.at for e in hall.journal if e.what == "start")
     assert len(starts) == 6
@@ -137,7 +137,7 @@
     timed = JobSpec("x", chain(1, 1).steps, 2, first_due=1.0, interval=5.0)
     with mock.patch.object(wall, "now", trio.current_time):
         async with running(make_owner(store, hall, 1)) as owner:
-            await owner.desk.submit("j1", QUEUE, timed)
+            await owner.job_api.submit("j1", QUEUE, timed)
             await trio.sleep(3)
         async with running(make_owner(store, hall, 2, vm="b")) as owner:
             await wait_until(lambda: _ended(owner, "j1"))
@@ -161,10 +161,10 @@
     wide = StepSpec(20, SMALL, 1.0, gang=True)
     fits = StepSpec(12, SMALL, 1.0, gang=True)
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("wide", QUEUE, spec(wide))
-        await owner.desk.submit("fits", QUEUE, spec(fits))
+        await owner.job_api.submit("wide", QUEUE, spec(wide))
+        await owner.job_api.submit("fits", QUEUE, spec(fits))
         await wait_until(lambda: _ended(owner, "fits"))
-        assert owner.desk.state("wide").state is JobState.QUEUED
+        assert owner.job_api.state("wide").state is JobState.QUEUED
     assert count(hall.journal, "start") == 12
 
 
@@ -173,7 +173,7 @@
     hall = make_hall(3, plan=lambda _: TaskPlan(LASTS, SMALL))
     step = StepSpec(9, SMALL, lasting=True, per_worker=2)
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("w1", QUEUE, spec(step))
+        await owner.job_api.submit("w1", QUEUE, spec(step))
         await trio.sleep(2)
     per_worker: dict[str, int] = {}
     for event in hall.journal:
@@ -186,7 +186,7 @@
     special = life(9)._replace(labels=("other", "r2"))
     hall.add(TaskWorkerStandin(special, quick, hall.journal))
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit(
+        await owner.job_api.submit(
             "j1", QUEUE, spec(StepSpec(4, SMALL, label="other"))
         )
         await wait_until(lambda: _ended(owner, "j1"))
@@ -200,7 +200,7 @@
     hall = make_hall(2, plan=lambda _: TaskPlan(LASTS, SMALL))
     step = StepSpec(4, SMALL, lasting=True)
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("w1", QUEUE, spec(step))
+        await owner.job_api.submit("w1", QUEUE, spec(step))
         await wait_until(lambda: count(hall.journal, "start") == 4)
         victim = hall.journal[0].worker
         _drain(hall.workers[victim])
--- a/tests/test_pass_cost.py
+++ b/tests/test_pass_cost.py
@@ -14,7 +14,7 @@
 import trio
 
 from pimentocross.owner import care, const
-from pimentocross.owner.jobs import JobBook
+from pimentocross.owner.jobs import JobRegistry
 from pimentocross.owner.worker import Worker
 from pimentocross.placement import field, hosts
 from pimentocross.placement.pacing import next_paces
@@ -66,7 +66,7 @@
     return worker
 
 
-def _submit(book: JobBook, parts: int) -> int:
+def _submit(book: JobRegistry, parts: int) -> int:
     """Brings forty tasks a part; returns how many in all."""
     tasks = 0
     for part in range(parts):
--- a/tests/test_pass_share.py
+++ b/tests/test_pass_share.py
@@ -81,7 +81,9 @@
             for number in range(9):
                 await trio.sleep(0.37)
                 began = trio.current_time()
-                await cell.owner.desk.submit(f"u{number}", QUEUE, chain(1, 1))
+                await cell.owner.job_api.submit(
+                    f"u{number}", QUEUE, chain(1, 1)
+                )
                 with _more_starts(cell.hall) as has_started:
                     await wait_until(has_started)
                 took = trio.current_time() - began
@@ -95,7 +97,7 @@
 ):
     async def play(clock: ChargingClock) -> None:
         async with _busy_cell(clock) as cell:
-            await cell.owner.desk.submit("last", _LAST, chain(1, 1))
+            await cell.owner.job_api.submit("last", _LAST, chain(1, 1))
             # At half of the time all that waits takes 2.4 s to look at, twice
             # if it came in just after its turn.
             with trio.fail_after(6.0), _more_starts(cell.hall) as has_started:
@@ -112,7 +114,7 @@
     with _charged_placing(clock, cell):
         async with running(cell.owner) as owner:
             for number in range(_WAITING):
-                await owner.desk.submit(
+                await owner.job_api.submit(
                     f"f{number}", _PATIENT, _roomless(number)
                 )
             await trio.sleep(1.0)
--- a/tests/test_placement_under_load.py
+++ b/tests/test_placement_under_load.py
@@ -32,7 +32,7 @@
 from pimentocross.placement.urgency import DeadlineClass, urgency
 from pimentocross.work.spec import JobSpec, Size, StepSpec
 from pimentocross.work.state import Job, Run, RunState, Step
-from tests.owner_fixtures import QUEUE, ROOM, SMALL, life
+from tests.owner_fixtures import QUEUE, SMALL, WORKER_CAPACITY, life
 
 
 class _Host:
@@ -41,7 +41,7 @@
     def __init__(
         self,
         number: int,
-        free: Size = ROOM,
+        free: Size = WORKER_CAPACITY,
         serving: Mapping[str, int] | None = None,
         filling: Mapping[str, int] | None = None,
     ) -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -21,7 +21,11 @@
     read_worker,
 )
 from pimentocross.work.spec import SpecError, check_spec
-from tests.owner_fixtures import count, find_again, find_twice
+from tests.owner_fixtures import (
+    count,
+    find_overlapping_starts,
+    find_starts_after_success,
+)
 from tests.platform_fixtures import (
     PREFIX,
     Caller,
@@ -97,8 +101,8 @@
                         worker.restart()
             for number in range(24):
                 await _until_state(caller, f"aa{number:02}", "completed")
-    assert not find_twice(platform.journal)
-    assert not find_again(platform.journal)
+    assert not find_overlapping_starts(platform.journal)
+    assert not find_starts_after_success(platform.journal)
 
 
 @real_time
@@ -194,8 +198,8 @@
             await _until_accepted(caller, "aa02")
             await _until_state(caller, "aa01", "completed")
             await _until_state(caller, "aa02", "completed")
-    assert not find_twice(platform.journal)
-    assert not find_again(platform.journal)
+    assert not find_overlapping_starts(platform.journal)
+    assert not find_starts_after_success(platform.journal)
 
 
 class _Process:
@@ -244,8 +248,8 @@
                     assert vm.started is not None
                     vm.started.kill()
                     vm.started.wait()
-    assert not find_twice(platform.journal)
-    assert not find_again(platform.journal)
+    assert not find_overlapping_starts(platform.journal)
+    assert not find_starts_after_success(platform.journal)
 
 
 async def _kill_in_turn(vms: list[_Process]) -> None:
--- a/tests/test_reclaim.py
+++ b/tests/test_reclaim.py
@@ -6,7 +6,7 @@
 
 from pimentocross.contracts.store import Record
 from pimentocross.owner import wall
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.owner.owner import Owner
 from pimentocross.owner.reclaimer import Reclaimer
 from pimentocross.placement.disturbance import PairEstimate
@@ -24,7 +24,7 @@
     QUEUE,
     count,
     life,
-    longest_away,
+    longest_interruption,
     make_hall,
     make_owner,
     running,
@@ -101,16 +101,16 @@
     with mock.patch.object(wall, "now", trio.current_time):
         async with running(make_owner(StoreStandin(), hall, 1)) as owner:
             watch = StepSpec(32, _LASTING, lasting=True, away_most=2)
-            await owner.desk.submit("watch", QUEUE, spec(watch))
+            await owner.job_api.submit("watch", QUEUE, spec(watch))
             await trio.sleep(8)
             for number in range(20):
                 job = f"short{number}"
-                await owner.desk.submit(
+                await owner.job_api.submit(
                     job, QUEUE, spec(StepSpec(1, _SHORT, 0.5))
                 )
                 # The objective: 2 times 0.5 s, and 1 s.
                 await trio.sleep(2.0)
-                state = owner.desk.state(job).state
+                state = owner.job_api.state(job).state
                 in_time.append(state is JobState.COMPLETED)
             await trio.sleep(6)
     assert count(hall.journal, "lapsed") == 0
@@ -148,11 +148,11 @@
         async with running(make_owner(StoreStandin(), hall, 1)) as owner:
             watch = StepSpec(16, _LASTING, lasting=True)
             for name in ("watch-a", "watch-b"):
-                await owner.desk.submit(name, QUEUE, spec(watch))
+                await owner.job_api.submit(name, QUEUE, spec(watch))
             await trio.sleep(8)
             for number in range(250):
                 step = StepSpec(1, _SHORT, 0.5)
-                await owner.desk.submit(f"short{number}", QUEUE, spec(step))
+                await owner.job_api.submit(f"short{number}", QUEUE, spec(step))
                 await trio.sleep(0.12)
 
 
@@ -162,7 +162,9 @@
     hall = make_hall(8, _plan)
     run_virtual(lambda: _run_pressure(hall))
     assert any(e.what == "stopped" for e in hall.journal)
-    assert longest_away(hall.journal) < 4.0, longest_away(hall.journal)
+    assert longest_interruption(hall.journal) < 4.0, longest_interruption(
+        hall.journal
+    )
 
 
 async def _run_best_effort(hall: WorkerHall) -> None:
@@ -172,15 +174,15 @@
         owner = make_owner(StoreStandin(), hall, 1, config=config)
         async with running(owner):
             watch = StepSpec(4, _LASTING, lasting=True, away_most=0)
-            await owner.desk.submit("watch", QUEUE, spec(watch))
+            await owner.job_api.submit("watch", QUEUE, spec(watch))
             await trio.sleep(1)
             for number in range(60):
                 wide = StepSpec(1, Size(7000, 1000, 0), 0.5)
-                await owner.desk.submit(f"short{number}", QUEUE, spec(wide))
+                await owner.job_api.submit(f"short{number}", QUEUE, spec(wide))
             best_effort = StepSpec(
                 3, _BEST_EFFORT_SIZE, 0.5, image="x", fills=True
             )
-            await owner.desk.submit("fill", _BATCH, spec(best_effort))
+            await owner.job_api.submit("fill", _BATCH, spec(best_effort))
             await trio.sleep(5)
 
 
@@ -196,7 +198,7 @@
 async def _run_excluded(hall: WorkerHall) -> None:
     """Submits many steps of an excluded image, then one of another image."""
     store = StoreStandin()
-    learned = Learned()
+    learned = LearnedEstimates()
     pair = PairEstimate("serving", "shut-out", 9.0, 0.1)
     learned.disturbance.restore([pair], 0.0)
     record = Record(records.LEARNED, learned.encode())
@@ -212,19 +214,19 @@
                 target_tail=20,
                 away_most=0,
             )
-            await owner.desk.submit("watch", QUEUE, spec(watch))
+            await owner.job_api.submit("watch", QUEUE, spec(watch))
             await trio.sleep(2)
             for number in range(60):
                 best_effort = StepSpec(
                     1, _BEST_EFFORT_SIZE, 0.5, image="shut-out", fills=True
                 )
-                await owner.desk.submit(
+                await owner.job_api.submit(
                     f"shut{number}", QUEUE, spec(best_effort)
                 )
             best_effort = StepSpec(
                 3, _BEST_EFFORT_SIZE, 0.5, image="borne", fills=True
             )
-            await owner.desk.submit("fill", _BATCH, spec(best_effort))
+            await owner.job_api.submit("fill", _BATCH, spec(best_effort))
             await trio.sleep(5)
 
 
@@ -267,13 +269,13 @@
         async with running(make_owner(StoreStandin(), hall, 1)) as owner:
             watch = StepSpec(8, _LASTING, lasting=True)
             for number in range(32):
-                await owner.desk.submit(f"watch{number}", QUEUE, spec(watch))
+                await owner.job_api.submit(f"watch{number}", QUEUE, spec(watch))
             await trio.sleep(8)
             short = spec(StepSpec(4, _SHORT, 0.5))
             jobs = [f"short{number}" for number in range(40)]
             async with trio.open_nursery() as nursery:
                 for job in jobs:
-                    await owner.desk.submit(job, QUEUE, short)
+                    await owner.job_api.submit(job, QUEUE, short)
                     nursery.start_soon(_note_in_time, owner, job, in_time)
                     await trio.sleep(0.4)
 
@@ -281,7 +283,7 @@
 async def _note_in_time(owner: Owner, job: str, in_time: list[bool]) -> None:
     # The objective: 2 times 0.5 s, and 1 s.
     await trio.sleep(2.0)
-    in_time.append(owner.desk.state(job).state is JobState.COMPLETED)
+    in_time.append(owner.job_api.state(job).state is JobState.COMPLETED)
 
 
 def test_short_work_has_its_share_though_more_is_to_last_than_fits() -> None:
@@ -306,14 +308,14 @@
         async with running(make_owner(store, hall, 1)) as owner:
             watch = StepSpec(8, _LASTING, lasting=True)
             for number in range(4):
-                await owner.desk.submit(f"watch{number}", QUEUE, spec(watch))
+                await owner.job_api.submit(f"watch{number}", QUEUE, spec(watch))
             await trio.sleep(8)
         async with running(make_owner(store, hall, 2)) as successor:
             await successor.settled.wait()
             short = spec(StepSpec(1, _SHORT, 0.5))
             async with trio.open_nursery() as nursery:
                 for job in ("short0", "short1", "short2"):
-                    await successor.desk.submit(job, QUEUE, short)
+                    await successor.job_api.submit(job, QUEUE, short)
                     nursery.start_soon(_note_in_time, successor, job, in_time)
 
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -13,7 +13,7 @@
     QUEUE,
     SMALL,
     count,
-    find_twice,
+    find_overlapping_starts,
     make_hall,
     make_owner,
     running,
@@ -52,7 +52,7 @@
     async with running(make_owner(store, hall, 1)) as owner:
         await trio.sleep(0.5)
         worker.faults.late = 1.0
-        await owner.desk.submit("watch", QUEUE, _WATCH)
+        await owner.job_api.submit("watch", QUEUE, _WATCH)
         await trio.sleep(0.1)
         worker.faults.late = 0.0
         store.faults.away = True
@@ -65,4 +65,4 @@
     (value,) = [r.value for r in page.records if r.key == records.REPEATS]
     assert value is not None
     assert [run for _, run in records.decode_repeats(value).runs] == [1]
-    assert not find_twice(hall.journal)
+    assert not find_overlapping_starts(hall.journal)
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -10,7 +10,7 @@
 import trio
 
 from pimentocross.owner import dispatcher, wall
-from pimentocross.owner.desk import Outcome
+from pimentocross.owner.job_api import Outcome
 from pimentocross.placement.durations import Durations
 from pimentocross.placement.urgency import DeadlineClass, Urgency, urgency
 from pimentocross.standins.store import StoreStandin
@@ -64,12 +64,12 @@
         async with running(make_owner(store, hall, 1)) as owner:
             for number in range(int(_SECONDS * _JOBS_PER_SECOND)):
                 job = f"j{number}"
-                reply = await owner.desk.submit(job, QUEUE, chain(6, 2))
+                reply = await owner.job_api.submit(job, QUEUE, chain(6, 2))
                 assert reply.outcome is Outcome.OK
                 accepted[job] = trio.current_time()
                 await trio.sleep(1 / _JOBS_PER_SECOND)
                 for known in accepted:
-                    state = owner.desk.state(known).state
+                    state = owner.job_api.state(known).state
                     if state is JobState.COMPLETED:
                         done.setdefault(known, trio.current_time())
     in_time_counts.append(
--- a/tests/test_restarted_workers.py
+++ b/tests/test_restarted_workers.py
@@ -24,9 +24,9 @@
     SMALL,
     chain,
     count,
-    crashed_under,
-    find_again,
-    find_twice,
+    crashed_twice_under,
+    find_overlapping_starts,
+    find_starts_after_success,
     make_hall,
     make_owner,
     running,
@@ -54,7 +54,7 @@
     """Submits jobs of two steps of three tasks, ten a second."""
     jobs = [f"job{number}" for number in range(first, first + count)]
     for job in jobs:
-        await owner.desk.submit(job, QUEUE, chain(3, 2))
+        await owner.job_api.submit(job, QUEUE, chain(3, 2))
         await trio.sleep(0.1)
     return jobs
 
@@ -62,15 +62,19 @@
 async def _wait_done(owner: Owner, jobs: Sequence[str], within: float) -> None:
     await wait_until(
         lambda: all(
-            owner.desk.state(job).state is JobState.COMPLETED for job in jobs
+            owner.job_api.state(job).state is JobState.COMPLETED for job in jobs
         ),
         within,
     )
 
 
 def _check(hall: WorkerHall) -> None:
-    assert not find_twice(hall.journal), find_twice(hall.journal)[:3]
-    assert not find_again(hall.journal), find_again(hall.journal)[:3]
+    assert not find_overlapping_starts(hall.journal), find_overlapping_starts(
+        hall.journal
+    )[:3]
+    assert not find_starts_after_success(hall.journal), (
+        find_starts_after_success(hall.journal)[:3]
+    )
 
 
 async def test_ends_of_a_restarted_worker_are_not_dropped() -> None:
@@ -88,7 +92,7 @@
     async with _owned_cell() as (owner, hall):
         await _submit_stream(owner, 0, 20)
         step = StepSpec(12, SMALL, lasting=True)
-        await owner.desk.submit("last", QUEUE, spec(step))
+        await owner.job_api.submit("last", QUEUE, spec(step))
         await trio.sleep(5)
         worker = next(iter(hall.workers.values()))
         started = count(hall.journal, "start")
@@ -159,15 +163,17 @@
             if worker.dead:
                 worker.restart()
         await wait_until(
-            lambda: all(owner.desk.state(job).state in TERMINAL for job in jobs)
+            lambda: all(
+                owner.job_api.state(job).state in TERMINAL for job in jobs
+            )
         )
         _check(hall)
         # Users let a task be given up under which two workers have crashed.
         lost = [
             job
             for job in jobs
-            if owner.desk.state(job).state is not JobState.COMPLETED
-            and not crashed_under(hall.journal, job)
+            if owner.job_api.state(job).state is not JobState.COMPLETED
+            and not crashed_twice_under(hall.journal, job)
         ]
         assert not lost, (seed, lost)
 
@@ -198,14 +204,14 @@
     hall = make_hall(1, lambda _: TaskPlan(0.1, SMALL))
     worker = next(iter(hall.workers.values()))
     async with running(make_owner(StoreStandin(), hall, 1)) as owner:
-        await owner.desk.submit("job0", QUEUE, chain(8, 8))
+        await owner.job_api.submit("job0", QUEUE, chain(8, 8))
         await _wait_done(owner, ["job0"], 10)
         worker.faults.lost = 1.0
         await trio.sleep(1.1)
         worker.faults.lost = 0.0
         hall.stale[worker.life.id] = worker.life
         worker.restart()
-        await owner.desk.submit("job1", QUEUE, chain(8, 1))
+        await owner.job_api.submit("job1", QUEUE, chain(8, 1))
         await _wait_done(owner, ["job1"], 5)
     _check(hall)
 
--- a/tests/test_review_of_mends.py
+++ b/tests/test_review_of_mends.py
@@ -83,7 +83,9 @@
             for number in range(9):
                 await trio.sleep(0.37)
                 began = trio.current_time()
-                await cell.owner.desk.submit(f"u{number}", QUEUE, chain(1, 1))
+                await cell.owner.job_api.submit(
+                    f"u{number}", QUEUE, chain(1, 1)
+                )
                 with _more_starts(cell.hall) as has_started:
                     await wait_until(has_started)
                 took = trio.current_time() - began
@@ -100,7 +102,7 @@
     async with _busy_cell(clock) as cell:
         step = StepSpec(1, Size(1_000, 20_000, 0), 1.0)
         for number in range(_ROOMLESS):
-            await cell.owner.desk.submit(
+            await cell.owner.job_api.submit(
                 f"r{number}", _LARGE, JobSpec("", (step,))
             )
         await trio.sleep(1.0)
--- a/tests/test_sight.py
+++ b/tests/test_sight.py
@@ -78,7 +78,7 @@
 async def test_a_take_over_tells_each_of_its_phases() -> None:
     store, hall = StoreStandin(), make_hall(_WORKERS)
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("j1", QUEUE, chain(2, 3))
+        await owner.job_api.submit("j1", QUEUE, chain(2, 3))
         await wait_until(lambda: bool(hall.journal))
         await trio.sleep(0.1)
     with _logged() as log:
@@ -141,7 +141,7 @@
         async with running(make_owner(StoreStandin(), hall, 1)) as owner:
             for number in range(6):
                 job = f"fill{number}"
-                await owner.desk.submit(job, QUEUE, filling_job(number))
+                await owner.job_api.submit(job, QUEUE, filling_job(number))
             await trio.sleep(3.0)
         took = trio.current_time() - began
 
--- a/tests/test_starts_held.py
+++ b/tests/test_starts_held.py
@@ -7,7 +7,7 @@
 
 from pimentocross.owner import const, wall
 from pimentocross.owner.care import Care
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.owner.orders import Orders
 from pimentocross.owner.worker import Worker
 from pimentocross.standins.store import StoreStandin
@@ -17,10 +17,10 @@
 from tests.owner_fixtures import (
     QUEUE,
     count,
-    find_again,
-    find_twice,
+    find_overlapping_starts,
+    find_starts_after_success,
     life,
-    longest_away,
+    longest_interruption,
     make_hall,
     make_owner,
     running,
@@ -53,9 +53,11 @@
     with mock.patch.object(wall, "now", trio.current_time):
         await _play_unanswered(hall)
     assert count(hall.journal, "done")
-    assert longest_away(hall.journal) < _AWAY_MOST, longest_away(hall.journal)
-    assert not find_twice(hall.journal)
-    assert not find_again(hall.journal)
+    assert longest_interruption(hall.journal) < _AWAY_MOST, (
+        longest_interruption(hall.journal)
+    )
+    assert not find_overlapping_starts(hall.journal)
+    assert not find_starts_after_success(hall.journal)
 
 
 async def _play_unanswered(hall: WorkerHall) -> None:
@@ -67,7 +69,7 @@
         for worker in hall.workers.values():
             worker.faults.lost = 1.0
         for number in range(4):
-            await owner.desk.submit(f"watch{number}", QUEUE, watch)
+            await owner.job_api.submit(f"watch{number}", QUEUE, watch)
         await wait_until(lambda: count(hall.journal, "start") == 32)
     for worker in hall.workers.values():
         worker.faults.lost = 0.0
@@ -75,7 +77,7 @@
         await heir.settled.wait()
         short = spec(StepSpec(1, _SHORT, 0.5))
         for number in range(30):
-            await heir.desk.submit(f"short{number}", QUEUE, short)
+            await heir.job_api.submit(f"short{number}", QUEUE, short)
             await trio.sleep(1.0)
 
 
@@ -91,7 +93,7 @@
     recorded = RecordedOrders()
     orders = cast(Orders, recorded)
     roster = mock.Mock(workers=mock.Mock(return_value=[worker]))
-    care = Care(roster, Learned())
+    care = Care(roster, LearnedEstimates())
     await trio.sleep_until(late_until - 0.1)
     care.pass_over(orders)
     assert not recorded.stopped
@@ -124,9 +126,9 @@
         await trio.sleep(0.5)
         for worker in hall.workers.values():
             worker.faults.late = 1.0
-        await owner.desk.submit("short", QUEUE, job)
+        await owner.job_api.submit("short", QUEUE, job)
         await trio.sleep(2.0)
-        assert owner.desk.pending(QUEUE.name) == 1
+        assert owner.job_api.pending(QUEUE.name) == 1
     for worker in hall.workers.values():
         worker.restart()
         worker.faults.late = 0.0
@@ -134,14 +136,14 @@
         await heir.settled.wait()
         await trio.sleep(2.0)
         assert not count(hall.journal, "start")
-        assert heir.desk.pending(QUEUE.name) == 1
-        await heir.desk.submit("watch", QUEUE, _WATCH)
+        assert heir.job_api.pending(QUEUE.name) == 1
+        await heir.job_api.submit("watch", QUEUE, _WATCH)
         await wait_until(lambda: count(hall.journal, "start") == 1)
-        assert heir.desk.pending(QUEUE.name) == 1
+        assert heir.job_api.pending(QUEUE.name) == 1
         await wait_until(lambda: count(hall.journal, "start") == 2)
-        await wait_until(lambda: heir.desk.pending(QUEUE.name) == 0)
+        await wait_until(lambda: heir.job_api.pending(QUEUE.name) == 0)
     async with running(make_owner(store, hall, 3)) as third:
-        assert third.desk.pending(QUEUE.name) == 0
+        assert third.job_api.pending(QUEUE.name) == 0
 
 
 async def test_what_was_carried_out_once_is_not_held_by_the_next_owner() -> (
@@ -154,7 +156,7 @@
         await trio.sleep(0.5)
         for worker in hall.workers.values():
             worker.faults.lost = 1.0
-        await owner.desk.submit("watch", QUEUE, _WATCH)
+        await owner.job_api.submit("watch", QUEUE, _WATCH)
         await wait_until(lambda: count(hall.journal, "start") == 1)
     for worker in hall.workers.values():
         worker.faults.lost = 0.0
@@ -162,4 +164,4 @@
     await trio.sleep(const.LEASE)
     async with running(make_owner(store, hall, 2)):
         await wait_until(lambda: count(hall.journal, "start") == 2, _AWAY_MOST)
-    assert not find_twice(hall.journal)
+    assert not find_overlapping_starts(hall.journal)
--- a/tests/test_triage.py
+++ b/tests/test_triage.py
@@ -9,7 +9,7 @@
 import random
 from typing import NamedTuple
 
-from pimentocross.owner.backlog import Account, Backlog
+from pimentocross.owner.backlog import Backlog, CapacityPool
 from pimentocross.owner.worker import Worker
 from pimentocross.placement.durations import Durations
 from pimentocross.placement.triage import (
@@ -127,17 +127,17 @@
     while arriving or waits or running:
         now = tick * _TICK
         tick += 1
-        whole = slots * 2 // 3 if lost and 6 <= now < 14 else slots
+        total = slots * 2 // 3 if lost and 6 <= now < 14 else slots
         done.update({job: end for end, job in running if end <= now})
         running = [run for run in running if run[0] > now]
         while arriving and arriving[0].arrived_at <= now:
             waits[arriving[0]] = arriving[0].width
             del arriving[0]
-        free = max(whole - len(running), 0)
+        free = max(total - len(running), 0)
         scarce = sum(waits.values()) > free
         orders = _orders(
             {job: job.waiting(now, n) for job, n in waits.items()},
-            whole * _CORES_PER_TASK,
+            total * _CORES_PER_TASK,
             mean if scarce else 0.0,
         )
         for _, job in sorted(zip(orders, waits, strict=True)):
@@ -213,7 +213,7 @@
 def _orders_after_look(
     backlog: Backlog, ranks: list[tuple[Urgency, Step]], workers: int, at: float
 ) -> list[Order]:
-    backlog.look(ranks, _workers(workers), 0.0, at)
+    backlog.refresh(ranks, _workers(workers), 0.0, at)
     return [backlog.order(rank, step) for rank, step in ranks]
 
 
@@ -255,9 +255,11 @@
     filling = [(_rank(5.0), make_step(f"f{n}", _FILLING)) for n in range(5)]
     reserving = [(_rank(5.0), make_step(f"r{n}", _TASKS)) for n in range(5)]
     backlog = Backlog(Durations())
-    backlog.look([*filling, *reserving], workers, 0.0, 1.0)
+    backlog.refresh([*filling, *reserving], workers, 0.0, 1.0)
     assert not any(backlog.order(*each).cost_ratio for each in filling)
     assert all(backlog.order(*each).cost_ratio for each in reserving)
-    whole = {account: room.whole for account, room in backlog.rooms.items()}
-    assert whole[Account("stock", fills=False)] == 16.0
-    assert whole[Account("stock", fills=True)] > 100
+    total = {
+        account: room.total for account, room in backlog.capacities.items()
+    }
+    assert total[CapacityPool("stock", fills=False)] == 16.0
+    assert total[CapacityPool("stock", fills=True)] > 100
--- a/tests/test_wire_cost.py
+++ b/tests/test_wire_cost.py
@@ -28,9 +28,9 @@
     TargetConnection,
     connect_target,
 )
-from pimentocross.owner.jobs import JobBook
+from pimentocross.owner.jobs import JobRegistry
 from pimentocross.owner.keeper import Keeper
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.owner.ledger import Ledger
 from pimentocross.owner.worker import Worker
 from pimentocross.platform.wire import WireError, read_hold
@@ -139,7 +139,7 @@
 
 
 async def test_a_listing_is_decoded_in_few_steps() -> None:
-    _, tasks = make_listed(JobBook(_ledger(), 150.0), _RUNS)
+    _, tasks = make_listed(JobRegistry(_ledger(), 150.0), _RUNS)
     body = body_of(tasks)
     read_hold(body)
     with _counting() as count:
@@ -174,10 +174,10 @@
 
 async def test_a_listing_of_unchanged_runs_is_taken_in_in_few_steps() -> None:
     ledger = _ledger()
-    book = JobBook(ledger, 150.0)
+    book = JobRegistry(ledger, 150.0)
     life, tasks = make_listed(book, _RUNS)
-    learned = Learned()
-    parts = make_parts(book, ledger, learned.judge, learned.on_listed)
+    learned = LearnedEstimates()
+    parts = make_parts(book, ledger, learned.on_ending, learned.on_listed)
     taken = []
     for rounds in (10, 20):
         link = _ListsAgain(read_hold(body_of(tasks)), rounds)
@@ -200,7 +200,7 @@
     step = filling_job(0).steps[0]
     calls = []
     for repeats in (2, 50):
-        book = JobBook(_ledger(), 150.0)
+        book = JobRegistry(_ledger(), 150.0)
         job = Job("j", QUEUE, JobSpec("", (step,), repeats, 0.0, 1.0), 0.0)
         book.restore(job)
         first, *others = job.tasks()
