--- a/pimentocross/owner/admission.py
+++ b/pimentocross/owner/admission.py
@@ -1,7 +1,7 @@
-"""Refuses jobs that surely can't be done while they are of use.
+"""Admission control: refuses jobs that would certainly end too late.
 
-Only for jobs that run once and whose queue has an objective, and only by an
-owner that has seen for a while what its workers carry.
+It applies only to jobs that run once and whose queue has a time objective, and
+only once the owner has known the load of its workers for a while.
 """
 
 from collections.abc import Callable
@@ -20,51 +20,55 @@
 from pimentocross.work.spec import JobSpec
 from pimentocross.work.state import Job
 
-# A new owner refuses nobody for so many seconds after it has heard its workers:
-# what it took over all waits at once, and most of it is gone by then.
-_SETTLED_FOR: Final = 5.0
-# Seconds after which what was seen of the backlog says nothing any more.
-_FRESH: Final = 1.5
+# A new owner refuses no job in this many seconds after its workers have listed
+# their runs: the jobs that it took over all wait at once, and most of that
+# backlog is gone by then.
+_MIN_SETTLED_SECONDS: Final = 5.0
+# Seconds; an older backlog is no reason to refuse a job.
+_MAX_BACKLOG_AGE: Final = 1.5
 
 
 class Admission:
-    """Asked about each job that isn't known yet."""
+    """Decides whether a new job is accepted or refused."""
 
     def __init__(
         self,
         backlog: Backlog,
         learned: LearnedEstimates,
-        settled_for: Callable[[], float],
+        seconds_since_settled: Callable[[], float],
         *,
         refuses: bool = True,
     ) -> None:
-        """Takes what waits, what was learned, and since when.
+        """Initializes admission control.
 
         Args:
-            backlog: What waits for room.
-            learned: What was learned of tasks.
-            settled_for: Returns for how many seconds the owner has known what
-                runs on the workers.
-            refuses: Whether any job is refused.
+            backlog: Jobs that wait for capacity.
+            learned: Estimates of task durations and completion rates.
+            seconds_since_settled: Returns for how many seconds the owner has
+                known what runs on the workers.
+            refuses: Whether any job is refused; False accepts all jobs.
         """
         self._refuses = refuses
         self._backlog = backlog
         self._learned = learned
-        self._settled_for = settled_for
+        self._seconds_since_settled = seconds_since_settled
 
-    def refuse_for(self, job_id: str, queue: Queue, spec: JobSpec) -> float:
-        """Returns after how many seconds to come back, 0 for a job to take.
+    def refusal_retry_delay(
+        self, job_id: str, queue: Queue, spec: JobSpec
+    ) -> float:
+        """Returns the seconds after which to retry a refused job.
 
-        A refusal is noted. Nothing of the job is kept.
+        Returns 0 if the job is accepted. A refusal is logged and counted, and
+        no state of the job is kept.
         """
-        if not self._refuses or not self._is_sure():
+        if not self._refuses or not self._has_recent_data():
             return 0.0
         if not _has_objective(queue, spec):
             return 0.0
-        account = CapacityPool(queue.service, spec.steps[0].fills)
-        if not self._backlog.work(account):
+        pool = CapacityPool(queue.service, spec.steps[0].fills)
+        if not self._backlog.waiting_work(pool):
             return 0.0
-        load = self._load(account, Job(job_id, queue, spec, wall.now()))
+        load = self._load(pool, Job(job_id, queue, spec, wall.now()))
         if load is None:
             return 0.0
         seconds = retry_after(load, job_id)
@@ -83,39 +87,43 @@
         )
         return seconds
 
-    def _is_sure(self) -> bool:
+    def _has_recent_data(self) -> bool:
         age = trio.current_time() - self._backlog.refreshed_at
-        return age <= _FRESH and self._settled_for() >= _SETTLED_FOR
+        return (
+            age <= _MAX_BACKLOG_AGE
+            and self._seconds_since_settled() >= _MIN_SETTLED_SECONDS
+        )
 
-    def _load(self, account: CapacityPool, job: Job) -> Load | None:
-        """Returns what a job would wait for in vain, None if it may not."""
+    def _load(self, pool: CapacityPool, job: Job) -> Load | None:
+        """Returns the load that makes a job too late, or None if it isn't."""
         now = trio.current_time()
-        rate = self._learned.finished_cores(account, now)
+        rate = self._learned.completion_rate(pool, now)
         if rate is None:
             return None
         durations = self._learned.durations
         step = job.occurrences[0].steps[0]
         load = Load(
-            self._backlog.work(account),
-            max(self._backlog.recent_room(account, now), rate),
-            self._backlog.whole_work(step),
+            self._backlog.waiting_work(pool),
+            max(self._backlog.recent_capacity(pool, now), rate),
+            self._backlog.total_work(step),
             durations.critical_path(step.occurrence),
             objective(step, durations),
         )
-        # Most jobs aren't in question even if all that waits went first.
+        # Cheap first check: most jobs are in time even if all waiting work is
+        # started before them.
         if not is_too_late(load):
             return None
         rank = urgency(step, durations, job.accepted_at)
         order = self._backlog.order(rank, step)
-        load = load._replace(ahead=self._backlog.work_before(account, order))
+        load = load._replace(ahead=self._backlog.work_ahead(pool, order))
         return load if is_too_late(load) else None
 
 
 def _has_objective(queue: Queue, spec: JobSpec) -> bool:
-    """True for jobs that run once and are worth less and less."""
+    """Returns whether a job runs once and has a time objective."""
     if spec.repeats or any(step.lasting for step in spec.steps):
         return False
     if queue.asks_adviser:
-        # Who may run it isn't known before it is asked for.
+        # The workers that may run it are unknown until the adviser is asked.
         return False
     return queue.slack > 0 or queue.target_latency > 0
--- a/pimentocross/owner/advice.py
+++ b/pimentocross/owner/advice.py
@@ -1,9 +1,9 @@
-"""Tickets for steps that only some workers may run.
+"""Tickets of the adviser, for steps that only some workers may run.
 
-The adviser takes one call at a time and answers the slower the more workers
-it is asked about, so steps wait in order of urgency and each call names few
-workers: those that may run the step and need a new ticket, then some that
-were never asked about.
+The adviser handles one call at a time and is slower the more workers a call
+names. Steps therefore wait in order of urgency, and each call names few
+workers: first those whose ticket for the step has expired, then some that the
+adviser was never asked about.
 """
 
 from collections.abc import Callable, Sequence
@@ -21,28 +21,28 @@
 from pimentocross.observe.decisions import note
 from pimentocross.work.state import Step
 
-# Workers named in one call: as many as users reckon a step's call to name.
-_ASKED_MOST = 30
-_TIMEOUT = 3.0
+# The users expect a call for a step to name this many workers.
+_MAX_WORKERS_PER_CALL = 30
+_CALL_TIMEOUT = 3.0
 _RETRY_PAUSE = 0.2
-# A ticket is used only if it holds for this long yet, in seconds: a start
-# waits for its record and for the worker.
-_MARGIN = 0.5
+# Seconds. A ticket that expires sooner isn't used, as a start first waits for
+# its record and for the worker.
+_MIN_REMAINING_VALIDITY = 0.5
 
 
 class _Ticket(NamedTuple):
-    """What lets a worker run a step, and until when, monotonic."""
+    """Permission for a worker to run a step, and its monotonic expiry."""
 
     text: str
-    until: float
+    expires_at: float
 
     @property
-    def holds(self) -> bool:
-        return self.until >= trio.current_time() + _MARGIN
+    def is_valid(self) -> bool:
+        return self.expires_at >= trio.current_time() + _MIN_REMAINING_VALIDITY
 
 
-class _Known:
-    """What is known of one step."""
+class _StepTickets:
+    """Tickets of one step by worker life, and the lives asked about."""
 
     def __init__(self) -> None:
         self.tickets: dict[str, _Ticket] = {}
@@ -50,102 +50,117 @@
 
 
 class TicketCache:
-    """Keeps tickets by step and asks for those that are wanted."""
+    """Caches tickets by step and requests missing ones from the adviser."""
 
     def __init__(
         self, adviser: Adviser | None, wake: Callable[[], None]
     ) -> None:
-        """Takes the adviser, if there is one, and what to call on news."""
+        """Initializes an empty cache.
+
+        Args:
+            adviser: The adviser, or None if there is none.
+            wake: Triggers a scheduling pass.
+        """
         self._adviser = adviser
         self._wake = wake
-        self._known: WeakKeyDictionary[Step, _Known] = WeakKeyDictionary()
-        self._wanted: dict[Step, list[str]] = {}
+        self._by_step: WeakKeyDictionary[Step, _StepTickets] = (
+            WeakKeyDictionary()
+        )
+        self._requested: dict[Step, list[str]] = {}
         self._changed = trio.Event()
 
     def tickets(self, step: Step) -> dict[str, str]:
-        """Returns tickets that hold, by worker life."""
-        known = self._known.get(step)
-        if known is None:
+        """Returns the valid tickets of a step by worker life."""
+        step_tickets = self._by_step.get(step)
+        if step_tickets is None:
             return {}
         return {
             worker: ticket.text
-            for worker, ticket in known.tickets.items()
-            if ticket.holds
+            for worker, ticket in step_tickets.tickets.items()
+            if ticket.is_valid
         }
 
     def request_tickets(self, step: Step, workers: Sequence[str]) -> None:
-        """Asks for tickets for a step on some of these workers.
+        """Queues a request for tickets for a step on some of the workers.
 
         Args:
             step: The step.
-            workers: Lives with room for its tasks, the best first.
+            workers: Lives with capacity for its tasks, the best first.
         """
         if self._adviser is None or not workers:
             return
-        self._wanted.setdefault(step, list(workers))
+        self._requested.setdefault(step, list(workers))
         self._changed.set()
 
     def needs_no_request(self, step: Step) -> bool:
-        """True if to want tickets for a step would change nothing."""
-        return self._adviser is None or step in self._wanted
+        """Whether requesting tickets for a step would have no effect."""
+        return self._adviser is None or step in self._requested
 
     def forget(self, step: Step) -> None:
-        """Drops tickets that a worker has refused."""
-        known = self._known.get(step)
-        if known is not None:
-            for worker, ticket in known.tickets.items():
-                known.tickets[worker] = ticket._replace(until=float("-inf"))
+        """Expires all tickets of a step, after a worker refused one."""
+        step_tickets = self._by_step.get(step)
+        if step_tickets is not None:
+            for worker, ticket in step_tickets.tickets.items():
+                step_tickets.tickets[worker] = ticket._replace(
+                    expires_at=float("-inf")
+                )
 
     def forget_life(self, life: str) -> None:
-        """Drops the tickets of a worker's life that has ended."""
-        for known in self._known.values():
-            known.tickets.pop(life, None)
-            known.asked.discard(life)
+        """Removes the tickets of a worker life that has ended."""
+        for step_tickets in self._by_step.values():
+            step_tickets.tickets.pop(life, None)
+            step_tickets.asked.discard(life)
 
     async def run(self) -> None:
-        """Asks for what is wanted, one step after the other, for ever."""
+        """Requests tickets for one step after the other until cancelled."""
         while True:
             await self._changed.wait()
             self._changed = trio.Event()
-            while self._wanted:
-                step = next(iter(self._wanted))
-                workers = self._wanted.pop(step)
+            while self._requested:
+                step = next(iter(self._requested))
+                workers = self._requested.pop(step)
                 if step.undone and not step.job.ended:
                     await self._ask(step, workers)
 
     async def _ask(self, step: Step, workers: list[str]) -> None:
         assert self._adviser is not None
-        known = self._known.setdefault(step, _Known())
-        named = _choose(known, workers)
-        if not named:
+        step_tickets = self._by_step.setdefault(step, _StepTickets())
+        chosen = _choose(step_tickets, workers)
+        if not chosen:
             return
         name = StepName(step.job.id, step.occurrence.number, step.number)
         asked_at = trio.current_time()
         try:
-            advice = await self._adviser.advise(name, named, _TIMEOUT)
+            advice = await self._adviser.advise(name, chosen, _CALL_TIMEOUT)
         except AdviserUnavailableError as error:
             note("advice_missing", step=name, reason=str(error))
             await trio.sleep(_RETRY_PAUSE)
             return
-        _take(known, named, advice, asked_at)
-        note("advice", step=name, asked=len(named), allowed=len(advice.tickets))
+        _store_advice(step_tickets, chosen, advice, asked_at)
+        note(
+            "advice", step=name, asked=len(chosen), allowed=len(advice.tickets)
+        )
         self._wake()
 
 
-def _choose(known: _Known, workers: list[str]) -> list[str]:
-    again = [
+def _choose(step_tickets: _StepTickets, workers: list[str]) -> list[str]:
+    expired = [
         worker
         for worker in workers
-        if worker in known.tickets and not known.tickets[worker].holds
+        if worker in step_tickets.tickets
+        and not step_tickets.tickets[worker].is_valid
     ]
-    fresh = [worker for worker in workers if worker not in known.asked]
-    return (again + fresh)[:_ASKED_MOST]
+    fresh = [worker for worker in workers if worker not in step_tickets.asked]
+    return (expired + fresh)[:_MAX_WORKERS_PER_CALL]
 
 
-def _take(
-    known: _Known, named: list[str], advice: Advice, asked_at: float
+def _store_advice(
+    step_tickets: _StepTickets,
+    chosen: list[str],
+    advice: Advice,
+    asked_at: float,
 ) -> None:
-    until = asked_at + advice.validity
+    expires_at = asked_at + advice.validity
     for worker, text in advice.tickets.items():
-        known.tickets[worker] = _Ticket(text, until)
-    known.asked.update(named)
+        step_tickets.tickets[worker] = _Ticket(text, expires_at)
+    step_tickets.asked.update(chosen)
--- a/pimentocross/owner/collector.py
+++ b/pimentocross/owner/collector.py
@@ -1,63 +1,64 @@
-"""Keeps Python's collector of cycles out of work that makes what stays."""
+"""Limits the cyclic garbage collector's pauses in an owner of many jobs."""
 
 from collections.abc import Iterator, Mapping
 from contextlib import contextmanager
 import gc
 
-_FULL = 2
+_OLDEST_GENERATION = 2
 
 
-class _Term:
-    """Up to where full collections had come as an owner last ended here."""
+class _PreviousOwner:
+    """Number of full collections when the last owner in this process ended."""
 
-    ended_at = -1
+    full_collections = -1
 
 
 @contextmanager
-def survivors_left_out() -> Iterator[None]:
-    """Has full collections look only through what came since the last one.
+def freeze_survivors() -> Iterator[None]:
+    """Makes full collections examine only objects made since the last one.
 
-    Load pattern: thousands of jobs, of which many are remembered after their
-    end. Looking through all of them stopped an owner for longer than peers
-    wait for a sign of it, and found nothing. What is left out is still freed
-    by count of its references; cycles of it are found after the block.
+    Load pattern: thousands of jobs, of which many are kept after their end.
+    Examining all of them paused an owner for longer than the peers' heartbeat
+    timeout, and found no garbage. Frozen objects are still freed by their
+    reference count; cycles among them are collected after the block.
     """
-    gc.callbacks.append(_leave_out)
+    gc.callbacks.append(_freeze_after_full_collection)
     try:
         yield
     finally:
-        gc.callbacks.remove(_leave_out)
+        gc.callbacks.remove(_freeze_after_full_collection)
         gc.unfreeze()
-        _Term.ended_at = _full_collections()
+        _PreviousOwner.full_collections = _full_collections()
 
 
 @contextmanager
-def uncollected() -> Iterator[None]:
-    """Has no cycles looked for within the block; for use in the one above.
+def collection_paused() -> Iterator[None]:
+    """Pauses the collector within the block; for use in `freeze_survivors`.
 
-    While a state is read almost nothing becomes garbage, but each fourth more
-    of it has all of it looked through, with the whole process stopped: most of
-    the time that reading 2,200 jobs took.
+    While an owner loads its state almost nothing becomes garbage, but each
+    growth by a quarter triggers a full collection that pauses the whole
+    process. These took most of the time of loading 2,200 jobs.
     """
     was_enabled = gc.isenabled()
     gc.disable()
     try:
         yield
     finally:
-        # What was made counts as old from now on; else the next, small
-        # collection would look through all of it at once.
+        # Otherwise the next collection of the youngest generation would examine
+        # all objects made in the block at once.
         gc.freeze()
-        if _full_collections() <= _Term.ended_at:
-            # What the former owner in this process left is still there.
+        if _full_collections() <= _PreviousOwner.full_collections:
+            # No full collection has run since the former owner in this process
+            # ended: its garbage must not stay frozen.
             gc.unfreeze()
         if was_enabled:
             gc.enable()
 
 
-def _leave_out(phase: str, info: Mapping[str, int]) -> None:
-    if phase == "stop" and info["generation"] == _FULL:
+def _freeze_after_full_collection(phase: str, info: Mapping[str, int]) -> None:
+    if phase == "stop" and info["generation"] == _OLDEST_GENERATION:
         gc.freeze()
 
 
 def _full_collections() -> int:
-    return int(gc.get_stats()[_FULL]["collections"])
+    return int(gc.get_stats()[_OLDEST_GENERATION]["collections"])
--- a/pimentocross/owner/intake.py
+++ b/pimentocross/owner/intake.py
@@ -1,10 +1,10 @@
-"""Takes up what entry VMs have stored for the cell's owner.
+"""Imports submissions and cancellations that entry VMs stored for the owner.
 
-A VM that can't ask an owner stores what its callers ask in a topic that all may
-append to. An owner takes it up in the order of the topic, records it among its
-own jobs and removes it from there: first the record, then the removal, so that
-what an owner leaves halfway is found again by the next one. A job that is known
-already is the same job, however often it stands there.
+An entry VM that can't reach the owner appends its callers' requests to the
+intake topic, to which all VMs may write. The owner imports them in the order of
+the topic, records them among its own jobs and then removes them from the topic.
+The record is stored before the removal, so that a successor finds whatever an
+owner leaves unfinished. Importing a job is idempotent by its id.
 """
 
 from collections.abc import Callable
@@ -26,32 +26,33 @@
 from pimentocross.work.records import RecordError
 
 TOPIC: Final = "intake"
-# Longest wait for news, seconds: callers ask for a job's state a moment after
-# it was taken in, and half of that time is left for a lost answer.
-_FOLLOW_WAIT: Final = 1.0
-# VMs tell callers that a job is accepted by a store that takes so long.
-_FOLLOW_TIMEOUT: Final = 1.0
-# Who asks for a job that isn't known waits this much longer, seconds.
-_LOOK_TIMEOUT: Final = 0.5
-_FOLLOW_RETRY: Final = 0.3
-# Age of the copy up to which a job that isn't there is taken for unknown,
-# seconds: callers are told so no sooner than that after it was taken in.
-_CURRENT_WITHIN: Final = 2.5
+# Longest waiting read, seconds. Callers ask for a job's state soon after it was
+# stored, and half of that time is left for a lost answer.
+_MAX_READ_WAIT: Final = 1.0
+# Seconds. Entry VMs still confirm jobs that a store takes this long to append.
+_READ_TIMEOUT: Final = 1.0
+# Longest extra wait of a request for an unknown job, seconds.
+_CATCH_UP_TIMEOUT: Final = 0.5
+_READ_RETRY_PAUSE: Final = 0.3
+# Maximum age in seconds of the owner's copy of the topic at which a missing job
+# is reported as unknown. Callers get that reply no sooner than this after a job
+# was stored.
+_MAX_COPY_AGE: Final = 2.5
 _REMOVE_TIMEOUT: Final = 1.5
-_REMOVE_RETRY: Final = 0.5
-# Removals of one append.
-_REMOVALS_MOST: Final = 500
+_REMOVE_RETRY_PAUSE: Final = 0.5
+# Removals per append.
+_MAX_REMOVALS: Final = 500
 
 
-class _Taken(NamedTuple):
-    """A record that was taken up, and the batch that has to be stored first."""
+class _ImportedRecord(NamedTuple):
+    """An imported record and the batch to be stored before its removal."""
 
     key: str
     batch: Batch
 
 
 class Intake:
-    """Follows the topic for one owner."""
+    """Imports the records of the intake topic into one owner's jobs."""
 
     def __init__(
         self,
@@ -61,13 +62,13 @@
         wake: Callable[[], None],
         config: Callable[[], WorkConfig],
     ) -> None:
-        """Takes what it works on.
+        """Initializes the intake; nothing is read before `open`.
 
         Args:
             store: The store.
             registry: The owner's jobs.
-            ledger: Where they are recorded.
-            wake: Has decisions made once there is more to decide.
+            ledger: Ledger that records these jobs.
+            wake: Triggers a scheduling pass.
             config: Returns the configuration in force.
         """
         self._config = config
@@ -76,102 +77,105 @@
         self._ledger = ledger
         self._wake = wake
         self._reader = TopicReader(store, TOPIC)
-        self._pace = PollPace(_FOLLOW_WAIT)
-        self._known_at = float("-inf")
+        self._pace = PollPace(_MAX_READ_WAIT)
+        self._complete_as_of = float("-inf")
         self._catching_up = trio.Lock()
-        self._tried_at = float("-inf")
-        self._taken: list[_Taken] = []
-        self._has_taken = trio.Event()
+        self._catch_up_began_at = float("-inf")
+        self._imported: list[_ImportedRecord] = []
+        self._has_imported = trio.Event()
 
     @property
     def is_current(self) -> bool:
-        """True if no job that callers may ask for by now can be missing."""
-        return trio.current_time() - self._known_at <= _CURRENT_WITHIN
+        """Whether every job that callers may ask for by now is imported."""
+        return trio.current_time() - self._complete_as_of <= _MAX_COPY_AGE
 
     async def open(self) -> None:
-        """Takes up all that was stored before this owner.
+        """Imports all records that were stored before this owner began.
 
         Raises:
-            StoreUnavailableError: It can't be read.
+            StoreUnavailableError: The topic can't be read.
         """
         await self._read(0.0, const.NEWEST_TIMEOUT)
 
     async def run(self) -> None:
-        """Takes up what comes, for ever."""
+        """Imports new records and removes imported ones until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._follow)
             nursery.start_soon(self._remove)
 
     async def catch_up(self) -> bool:
-        """Returns whether all that is there by now is taken up.
+        """Returns whether all records stored before the call are imported.
 
-        Those who ask while another reads share the next read.
+        Calls that arrive during a read share the next one.
         """
         asked_at = trio.current_time()
         async with self._catching_up:
-            if self._tried_at < asked_at:
-                self._tried_at = trio.current_time()
-                await self._try_read()
-        return self._known_at >= asked_at
+            if self._catch_up_began_at < asked_at:
+                self._catch_up_began_at = trio.current_time()
+                await self._read_for_catch_up()
+        return self._complete_as_of >= asked_at
 
-    async def _try_read(self) -> None:
+    async def _read_for_catch_up(self) -> None:
         try:
-            await self._read(0.0, _LOOK_TIMEOUT)
+            await self._read(0.0, _CATCH_UP_TIMEOUT)
         except StoreUnavailableError as error:
             note("intake_unread", reason=str(error))
 
     async def _follow(self) -> None:
         while True:
             try:
-                news = await self._read(self._pace.wait, _FOLLOW_TIMEOUT)
+                news = await self._read(self._pace.wait, _READ_TIMEOUT)
             except StoreUnavailableError:
                 self._pace.restart()
-                await trio.sleep(jittered(_FOLLOW_RETRY))
+                await trio.sleep(jittered(_READ_RETRY_PAUSE))
             else:
                 self._pace.note_answer(news=bool(news.records))
 
     async def _read(self, wait: float, timeout: float) -> TopicNews:
         news = await self._reader.read(wait, timeout)
-        # The newest of each key come in any order: a cancel needs its job.
+        # Compacted records come in any order, and a cancellation needs its job.
         for record in sorted(news.records, key=_is_cancel):
             if record.value is not None:
-                self._take(record.key, record.value)
-        self._known_at = max(self._known_at, news.known_at)
+                self._import_record(record.key, record.value)
+        self._complete_as_of = max(self._complete_as_of, news.known_at)
         return news
 
-    def _take(self, key: str, value: bytes) -> None:
+    def _import_record(self, key: str, value: bytes) -> None:
         kind, job_id = key[:1], key[1:]
         try:
             if kind == records.SUBMISSION:
-                batch = self._take_submission(job_id, value)
+                batch = self._import_submission(job_id, value)
             elif kind == records.CANCEL:
-                batch = self._take_cancel(job_id)
+                batch = self._import_cancel(job_id)
             else:
-                raise RecordError("of an unknown kind")
+                raise RecordError("unknown record kind")
         except RecordError as error:
-            # An owner of another version may be able to read it.
+            # It stays in the topic: an owner of another version may be able to
+            # read it.
             note("record_unreadable", key=key, reason=str(error))
             return
-        self._taken.append(_Taken(key, batch or self._ledger.barrier()))
-        self._has_taken.set()
+        self._imported.append(
+            _ImportedRecord(key, batch or self._ledger.barrier())
+        )
+        self._has_imported.set()
 
-    def _take_submission(self, job_id: str, value: bytes) -> Batch | None:
-        """Takes a job in; returns its record's batch, None if it is known.
+    def _import_submission(self, job_id: str, value: bytes) -> Batch | None:
+        """Adds a job; returns its record's batch, or None if it is known.
 
         Raises:
-            RecordError: It can't be read.
+            RecordError: The submission can't be decoded.
         """
         if self._registry.find(job_id) is not None:
             return None
         job = records.decode_submission(job_id, value)
-        # Its VM may have known an older or a newer form of the queue.
+        # The entry VM may have used an older or newer version of the queue.
         job.queue = self._config().newest_form(job.queue)
         note("job_taken_up", job=job_id, queue=job.queue.name)
         meters.add_taken_up("submission")
         self._wake()
-        return self._registry.take_in(job)
+        return self._registry.add(job)
 
-    def _take_cancel(self, job_id: str) -> Batch | None:
+    def _import_cancel(self, job_id: str) -> Batch | None:
         job = self._registry.find(job_id)
         if job is None or job.ended:
             return None
@@ -181,22 +185,22 @@
         return self._registry.cancel(job)
 
     async def _remove(self) -> None:
-        """Removes what was taken up, once that is recorded."""
+        """Removes imported records from the topic once the ledger has them."""
         while True:
-            await self._has_taken.wait()
-            taken = self._taken[:_REMOVALS_MOST]
-            for _, batch in taken:
+            await self._has_imported.wait()
+            imported = self._imported[:_MAX_REMOVALS]
+            for _, batch in imported:
                 await batch.stored.wait()
-            removals = [Record(key, None) for key, _ in taken]
+            removals = [Record(key, None) for key, _ in imported]
             try:
                 await self._store.append(TOPIC, removals, _REMOVE_TIMEOUT)
             except StoreUnavailableError as error:
                 note("intake_not_removed", reason=str(error))
-                await trio.sleep(jittered(_REMOVE_RETRY))
+                await trio.sleep(jittered(_REMOVE_RETRY_PAUSE))
                 continue
-            del self._taken[: len(taken)]
-            if not self._taken:
-                self._has_taken = trio.Event()
+            del self._imported[: len(imported)]
+            if not self._imported:
+                self._has_imported = trio.Event()
 
 
 def submission_key(job_id: str) -> str:
--- a/pimentocross/owner/job_api.py
+++ b/pimentocross/owner/job_api.py
@@ -1,4 +1,4 @@
-"""Answers what callers ask of a cell's owner."""
+"""Handles callers' requests to a cell's owner."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -9,7 +9,7 @@
 from pimentocross.observe.decisions import note
 from pimentocross.owner import const
 from pimentocross.owner.admission import Admission
-from pimentocross.owner.jobs import JobRegistry, shown_state
+from pimentocross.owner.jobs import JobRegistry, reported_state
 from pimentocross.owner.ledger import Batch, Ledger
 from pimentocross.work.queue import Queue
 from pimentocross.work.spec import JobSpec
@@ -17,10 +17,10 @@
 
 
 class Outcome(StrEnum):
-    """What became of a caller's question.
+    """Outcome of a caller's request.
 
-    After `UNSURE` a change may be in the store or not: the same question again
-    finds out.
+    After `UNSURE` a change may be in the store or not: repeating the same
+    request finds out.
     """
 
     OK = "ok"
@@ -31,13 +31,13 @@
 
 
 class JobReply(NamedTuple):
-    """An outcome, and the job's state if it is known.
+    """Outcome of a request, and the job's state if it is known.
 
     Attributes:
-        outcome: What became of the question.
-        state: The job's.
-        retry_after: After how many seconds there should be room, 0 if that
-            isn't the matter.
+        outcome: Outcome of the request.
+        state: State of the job.
+        retry_after: Seconds until there should be capacity for a refused job;
+            0 for all outcomes but `FULL`.
     """
 
     outcome: Outcome
@@ -46,7 +46,7 @@
 
 
 class JobApi:
-    """Takes jobs in, cancels them and tells how they stand."""
+    """Submits and cancels jobs and reports their state."""
 
     def __init__(
         self,
@@ -54,45 +54,48 @@
         ledger: Ledger,
         wake: Callable[[], None],
         admission: Admission,
-        knows_all: Callable[[], bool] = lambda: True,
+        knows_all_jobs: Callable[[], bool] = lambda: True,
     ) -> None:
-        """Takes the jobs and where they are recorded.
+        """Initializes the API of one owner.
 
         Args:
-            registry: The jobs.
-            ledger: Where they are recorded.
-            wake: Has decisions made once there is more to decide.
-            admission: Refuses what surely can't be of use.
-            knows_all: Returns whether no job can be missing that was accepted
-                elsewhere and that callers may ask for by now.
+            registry: The owner's jobs.
+            ledger: Ledger that records these jobs.
+            wake: Triggers a scheduling pass.
+            admission: Refuses jobs that would certainly end too late.
+            knows_all_jobs: Returns whether every job that entry VMs accepted
+                and that callers may ask for by now is in `registry`.
         """
-        self._knows_all = knows_all
+        self._knows_all_jobs = knows_all_jobs
         self._registry = registry
         self._ledger = ledger
         self._wake = wake
         self._admission = admission
-        # Batches of acceptances that may not be stored yet, by job.
-        self._storing: dict[str, Batch] = {}
+        # Batches, by job id, of accepted jobs that may not be stored yet.
+        self._unstored_batches: dict[str, Batch] = {}
 
     async def submit(
         self, job_id: str, queue: Queue, spec: JobSpec
     ) -> JobReply:
-        """Takes a job in and returns once its record is stored.
+        """Accepts a job and returns once its record is stored.
 
-        The same id again is the same job. If the store goes away meanwhile,
-        the caller is told so well before it gives up.
+        Submitting the same id again confirms the same job. If the store becomes
+        unavailable meanwhile, replies `UNSURE` well before the caller's
+        timeout.
         """
-        self._forget_stored()
+        self._drop_stored_batches()
         if self._registry.find(job_id) is None:
             if self._ledger.store_away:
                 note("job_refused", job=job_id, reason="store away")
                 return JobReply(Outcome.STORE_AWAY)
-            wait = self._admission.refuse_for(job_id, queue, spec)
+            wait = self._admission.refusal_retry_delay(job_id, queue, spec)
             if wait:
                 return JobReply(Outcome.FULL, retry_after=wait)
-            self._storing[job_id] = self._registry.accept(job_id, queue, spec)
+            self._unstored_batches[job_id] = self._registry.accept(
+                job_id, queue, spec
+            )
             self._wake()
-        batch = self._storing.get(job_id)
+        batch = self._unstored_batches.get(job_id)
         if batch is not None and not await self._is_stored(batch):
             note("job_unsure", job=job_id, store_age=self._ledger.age())
             return JobReply(Outcome.UNSURE)
@@ -100,21 +103,21 @@
         return JobReply(Outcome.OK, JobState.QUEUED)
 
     def knows(self, job_id: str) -> bool:
-        """True if a job was taken in, or may have been."""
+        """Returns whether a job is in the registry, stored or not."""
         return self._registry.find(job_id) is not None
 
     def state(self, job_id: str) -> JobReply:
-        """Returns a job's state."""
+        """Returns the state of a job as callers may see it."""
         job = self._registry.find(job_id)
         if job is not None:
-            return JobReply(Outcome.OK, shown_state(job))
-        return self._unknown()
+            return JobReply(Outcome.OK, reported_state(job))
+        return self._reply_unknown()
 
     async def cancel(self, job_id: str) -> JobReply:
-        """Cancels a job and returns once that is recorded."""
+        """Cancels a job and returns once that is stored."""
         job = self._registry.find(job_id)
         if job is None:
-            return self._unknown()
+            return self._reply_unknown()
         batch = self._registry.cancel(job)
         self._wake()
         if not await self._is_stored(batch):
@@ -124,13 +127,13 @@
         return JobReply(Outcome.OK, job.state)
 
     def pending(self, queue: str) -> int | None:
-        """Returns how many jobs of a queue wait, or None if unsure."""
+        """Returns how many jobs of a queue wait, or None if unknown."""
         if self._ledger.age() > const.CURRENT_WITHIN:
             return None
         return self._registry.pending(queue)
 
     async def _is_stored(self, batch: Batch) -> bool:
-        """Waits for a batch; False if the store is away for too long."""
+        """Waits for a batch; returns False if the store is unavailable."""
         asked_at = trio.current_time()
         while not batch.stored.is_set():
             waited = trio.current_time() - asked_at
@@ -140,13 +143,18 @@
                 await batch.stored.wait()
         return True
 
-    def _forget_stored(self) -> None:
-        stored = [j for j, b in self._storing.items() if b.stored.is_set()]
+    def _drop_stored_batches(self) -> None:
+        stored = [
+            j for j, b in self._unstored_batches.items() if b.stored.is_set()
+        ]
         for job_id in stored:
-            del self._storing[job_id]
-
-    def _unknown(self) -> JobReply:
-        if self._ledger.age() > const.CURRENT_WITHIN or not self._knows_all():
-            # A successor may have taken jobs in that aren't known here.
+            del self._unstored_batches[job_id]
+
+    def _reply_unknown(self) -> JobReply:
+        if (
+            self._ledger.age() > const.CURRENT_WITHIN
+            or not self._knows_all_jobs()
+        ):
+            # A successor or an entry VM may have accepted the job.
             return JobReply(Outcome.STORE_AWAY)
         return JobReply(Outcome.NO_SUCH_JOB)
--- a/pimentocross/owner/jobs.py
+++ b/pimentocross/owner/jobs.py
@@ -1,4 +1,4 @@
-"""All jobs of a cell, and which of their steps wait for a start."""
+"""Registry of a cell's jobs and of the steps that can be started."""
 
 from collections.abc import Iterator
 
@@ -19,7 +19,7 @@
 
 
 class _Progress:
-    """A job's progress record."""
+    """Progress record of a job."""
 
     def __init__(self, job: Job) -> None:
         self._job = job
@@ -38,25 +38,26 @@
 
 
 class JobRegistry:
-    """Jobs by id; every change goes to the ledger."""
+    """Jobs of a cell by id; writes every change to the ledger."""
 
-    def __init__(self, ledger: Ledger, ended_kept: float) -> None:
-        """Starts empty.
+    def __init__(self, ledger: Ledger, retention: float) -> None:
+        """Initializes an empty registry.
 
         Args:
-            ledger: Where changes are recorded.
-            ended_kept: Seconds for which an ended job is remembered.
+            ledger: Ledger to which changes are written.
+            retention: Seconds for which an ended job is kept.
         """
         self._ledger = ledger
-        self._ended_kept = ended_kept
+        self._retention = retention
         self._jobs: dict[str, Job] = {}
-        # Steps of jobs that haven't ended, whose turn has come; in order.
-        self._open_steps: dict[Step, None] = {}
-        # Steps whose turn has not come.
-        self._later_steps: dict[Step, None] = {}
+        # Unfinished steps of unfinished jobs whose preceding steps are done, in
+        # order.
+        self._active_steps: dict[Step, None] = {}
+        # Steps whose preceding steps aren't all done.
+        self._blocked_steps: dict[Step, None] = {}
 
     def __len__(self) -> int:
-        """How many jobs are known."""
+        """Returns the number of jobs."""
         return len(self._jobs)
 
     def find(self, job_id: str) -> Job | None:
@@ -79,11 +80,11 @@
             return None
 
     def accept(self, job_id: str, queue: Queue, spec: JobSpec) -> Batch:
-        """Takes a job in; returns the batch of its first record."""
-        return self.take_in(Job(job_id, queue, spec, wall.now()))
+        """Adds a newly submitted job; returns the batch of its record."""
+        return self.add(Job(job_id, queue, spec, wall.now()))
 
-    def take_in(self, job: Job) -> Batch:
-        """Takes in a job that was accepted; returns its record's batch."""
+    def add(self, job: Job) -> Batch:
+        """Adds an accepted job; returns the batch of its record."""
         self.restore(job)
         return self._ledger.put(
             LazyRecord(
@@ -93,36 +94,36 @@
         )
 
     def restore(self, job: Job) -> None:
-        """Takes in a job that is in the store."""
+        """Adds a job whose record is in the store already."""
         self._jobs[job.id] = job
         if job.ended:
             return
         for occurrence in job.occurrences:
             for step in occurrence.steps:
                 if step.undone:
-                    self._later_steps[step] = None
+                    self._blocked_steps[step] = None
         job.take_steps_done()
         for occurrence in job.occurrences:
-            self._open_turns(occurrence)
+            self._activate_steps(occurrence)
 
     def changed(self, job: Job) -> Batch:
-        """Notes that a job's tasks changed; returns the record's batch."""
+        """Advances a job whose tasks changed; returns its record's batch."""
         was_open = not job.ended
         job.advance(wall.now())
         if job.ended:
-            self._close_steps(job)
+            self._drop_steps(job)
             if was_open:
                 took = round(job.ended_at - job.accepted_at, 3)
                 note("job_ended", job=job.id, state=job.state, took=took)
         else:
             for step in job.take_steps_done():
-                self._open_steps.pop(step, None)
-                self._later_steps.pop(step, None)
-                self._open_turns(step.occurrence)
+                self._active_steps.pop(step, None)
+                self._blocked_steps.pop(step, None)
+                self._activate_steps(step.occurrence)
         return self._ledger.put(_Progress(job))
 
     def record_crashes(self, job: Job) -> None:
-        """Has the crashes under a job's tasks recorded."""
+        """Records the crash histories of a job's tasks."""
         self._ledger.put(
             LazyRecord(
                 records.CRASHES + job.id,
@@ -131,26 +132,31 @@
         )
 
     def cancel(self, job: Job) -> Batch:
-        """Cancels a job; returns the record's batch."""
+        """Cancels a job; returns the batch of its record."""
         job.cancel(wall.now())
         return self.changed(job)
 
     def ready_steps(self, today: float) -> list[Step]:
-        """Returns the steps whose turn has come and of which tasks wait."""
+        """Returns the active steps that are due and have waiting tasks.
+
+        Args:
+            today: Current wall-clock time, seconds.
+        """
         return [
             step
-            for step in self._open_steps
+            for step in self._active_steps
             if step.waiting_count and step.occurrence.due <= today
         ]
 
     def active_steps(self) -> Iterator[Step]:
-        """Yields the steps whose turn has come and that aren't done."""
-        yield from self._open_steps
+        """Yields the unfinished steps whose preceding steps are done."""
+        yield from self._active_steps
 
     def pending(self, queue: str) -> int:
         """Returns how many accepted jobs of a queue have not begun.
 
-        One whose first starts weren't answered counts until a run is seen.
+        A job whose first start orders weren't answered counts until a worker
+        lists one of its runs.
         """
         return sum(
             1
@@ -159,15 +165,15 @@
         )
 
     def apply_config(self, config: WorkConfig) -> None:
-        """Gives jobs the newest form of their queues."""
+        """Updates the queue settings of all jobs that have not ended."""
         queues = {queue.name: queue for queue in config.queues}
         for job in self._jobs.values():
             if not job.ended:
                 job.queue = queues.get(job.queue.name, job.queue)
 
     def sweep(self) -> None:
-        """Forgets jobs that ended long ago."""
-        before = wall.now() - self._ended_kept
+        """Removes jobs that ended longer ago than the retention time."""
+        before = wall.now() - self._retention
         old = [
             job
             for job in self._jobs.values()
@@ -177,37 +183,37 @@
             if any(task.runs for task in job.tasks()):
                 continue
             del self._jobs[job.id]
-            for prefix in _prefixes(job):
-                self._ledger.put(LazyRecord(prefix + job.id, _nothing))
+            for prefix in _record_kinds(job):
+                self._ledger.put(LazyRecord(prefix + job.id, _no_value))
             job.take_apart()
 
-    def _open_turns(self, occurrence: Occurrence) -> None:
+    def _activate_steps(self, occurrence: Occurrence) -> None:
         for step in occurrence.steps:
-            if step in self._later_steps and step.turn:
-                del self._later_steps[step]
-                self._open_steps[step] = None
+            if step in self._blocked_steps and step.turn:
+                del self._blocked_steps[step]
+                self._active_steps[step] = None
 
-    def _close_steps(self, job: Job) -> None:
+    def _drop_steps(self, job: Job) -> None:
         for occurrence in job.occurrences:
             for step in occurrence.steps:
-                self._open_steps.pop(step, None)
-                self._later_steps.pop(step, None)
+                self._active_steps.pop(step, None)
+                self._blocked_steps.pop(step, None)
 
 
-def _prefixes(job: Job) -> list[str]:
-    """Returns of what kinds a job has records."""
+def _record_kinds(job: Job) -> list[str]:
+    """Returns the key prefixes of the records that a job has."""
     kinds = [records.SUBMISSION, records.PROGRESS]
     if any(task.crash_history.crashes for task in job.tasks()):
         kinds.append(records.CRASHES)
     return kinds
 
 
-def _nothing() -> None:
-    """Returns what removes a key."""
+def _no_value() -> None:
+    """Returns None, the value that removes a key."""
 
 
-def shown_state(job: Job) -> JobState:
-    """Returns what callers are told: a final state only once recorded."""
+def reported_state(job: Job) -> JobState:
+    """Returns the state shown to callers: a final one only once recorded."""
     if job.state in TERMINAL:
         if job.recorded_state in TERMINAL:
             return job.recorded_state
--- a/pimentocross/owner/learned.py
+++ b/pimentocross/owner/learned.py
@@ -1,4 +1,4 @@
-"""What an owner learns from endings and listings, for all its decisions."""
+"""Estimates that an owner learns from endings and listings of workers."""
 
 from collections import defaultdict
 from collections.abc import Mapping, Sequence
@@ -31,41 +31,43 @@
 from pimentocross.work.records import LearnedRecord, encode_learned
 from pimentocross.work.state import Run, RunState, Step, Task
 
-# Two jobs that fail in a row speak against a worker: ordinary tasks fail one
-# time in twenty, two of different jobs in a row one time in 400.
+# A worker is quarantined once tasks of two jobs fail in a row: ordinary tasks
+# fail one time in 20, so that failures of two different jobs follow each other by
+# chance one time in 400.
 _QUARANTINE: Final = QuarantineSettings(after=2, first=3.0, most=12.0)
-# What serves alone on a sound worker stays under this share of its target.
-_SOUND_ALONE: Final = 1.2
-# A worker that was seen in trouble gets nothing new for this long, seconds:
-# shorter than most faults of this kind, so that a try tells when they end.
-UNSOUND_FOR: Final = 2.0
+# A task that serves alone on a sound worker stays under this multiple of its
+# latency target.
+_MAX_SOUND_RATIO: Final = 1.2
+# Seconds for which an unsound worker gets no new tasks. Most such faults last
+# longer, so that tasks placed afterwards show whether the fault has ended.
+UNSOUND_SECONDS: Final = 2.0
 
 
-class Measured(NamedTuple):
-    """A run and how far it is."""
+class MeasuredRun(NamedTuple):
+    """A run and its measured progress."""
 
     run: Run
     progress: Progress
 
 
-class _Expected(NamedTuple):
-    """Seconds that a task takes, and whether its own step tells so."""
+class _ExpectedDuration(NamedTuple):
+    """Expected seconds of a task, and whether its own step confirms them."""
 
     seconds: float
     is_sure: bool
 
 
 class LearnedEstimates:
-    """Durations, pairs that disturb, and workers to be left alone.
+    """Estimates of durations, disturbance and soundness of workers.
 
     Attributes:
-        durations: How long tasks take.
-        disturbance: Which images disturb which.
-        quarantine: Workers that fail what they start.
+        durations: Estimates of how long tasks take.
+        disturbance: Estimates of which images slow others down.
+        quarantine: Workers whose tasks fail too often.
     """
 
     def __init__(self, switches: Switches = ALL_ON) -> None:
-        """Knows nothing yet; takes which parts are switched off."""
+        """Initializes empty estimates; `switches` may turn parts off."""
         self.durations = Durations(use_tails=switches.is_on(Part.TAILS))
         self.disturbance = Disturbance()
         self.quarantine = Quarantine(_QUARANTINE)
@@ -74,11 +76,11 @@
         self._projections = Projections()
 
     def encode(self) -> bytes:
-        """Returns the record that a successor begins with."""
+        """Returns the record from which a successor restores the estimates."""
         return encode_learned(self.disturbance.pairs(), self.durations.means())
 
     def restore(self, record: LearnedRecord) -> None:
-        """Takes what a former owner had learned."""
+        """Restores the estimates of a former owner."""
         pairs = [PairEstimate(*row) for row in record.pairs]
         self.disturbance.restore(pairs, trio.current_time())
         self.durations.restore(record.durations)
@@ -86,7 +88,7 @@
     def on_ending(
         self, worker: Worker, task: Task, run: Run | None, ending: Ending
     ) -> None:
-        """Learns from an ending."""
+        """Updates the estimates from the ending of a run."""
         if ending.how is EndKind.DONE:
             self.quarantine.note_finished(
                 worker.life.id, task.step.job.id, trio.current_time()
@@ -100,9 +102,9 @@
         elif not task.step.spec.lasting:
             self.quarantine.note_lost(worker.life.id)
 
-    def finished_cores(self, account: CapacityPool, now: float) -> float | None:
-        """Returns core-seconds that are done a second, or None if unsure."""
-        rate = self._finished.get(account)
+    def completion_rate(self, pool: CapacityPool, now: float) -> float | None:
+        """Returns core-seconds completed per second, or None if unknown."""
+        rate = self._finished.get(pool)
         return rate.cores(now) if rate is not None else None
 
     def _note_finished(self, step: Step) -> None:
@@ -118,11 +120,12 @@
             worked = trio.current_time() - run.state_at
             self.durations.note_task(task.step, took, worked)
         else:
-            # What a worker in trouble adds is no tail of the queue.
+            # The delay comes from the unsound worker, so it must not count in
+            # the tail of the queue's durations.
             self.durations.note(task.step.job.queue.name, took)
 
     def record_failure(self, worker: Worker, task: Task) -> None:
-        """Holds a failure or a standstill against a worker."""
+        """Counts a failed or stalled task against a worker."""
         now = trio.current_time()
         job = task.step.job.id
         self.quarantine.note_failed(worker.life.id, job, now, str(task.name))
@@ -131,17 +134,17 @@
             note("worker_suspect", worker=worker.life.id, reason=reason)
 
     def on_listed(self, worker: Worker) -> None:
-        """Learns from the figures of a listing that was just heard."""
+        """Updates the estimates from a listing that has just arrived."""
         worker.version += 1
         now = worker.heard_at
         loads = worker.filler_loads()
         readings = worker.readings(now)
         self._check_soundness(worker, readings, loads, now)
         if not worker.serves or worker.unsound_until > now:
-            # What a worker in trouble shows says nothing of pairs.
+            # Figures of an unsound worker don't show which images disturb.
             return
         for reading in readings:
-            if loads or reading.ratio < _SOUND_ALONE:
+            if loads or reading.ratio < _MAX_SOUND_RATIO:
                 self.disturbance.learn(
                     reading.image,
                     loads,
@@ -150,30 +153,34 @@
                     worker.number,
                 )
 
-    def progress(self, worker: Worker) -> list[Measured]:
-        """Returns how far the runs are that end and were never slowed."""
-        return [Measured(*found) for found in self._progress(worker, 0.0)]
+    def progress(self, worker: Worker) -> list[MeasuredRun]:
+        """Returns the progress of runs that end and were never throttled."""
+        return [
+            MeasuredRun(*found)
+            for found in self._measured_progress(worker, 0.0)
+        ]
 
-    def _progress(
-        self, worker: Worker, least: float
+    def _measured_progress(
+        self, worker: Worker, min_elapsed: float
     ) -> list[tuple[Run, Progress]]:
-        """Returns the same of runs that took at least some seconds."""
+        """Returns the progress of runs that have run for some seconds."""
         found = []
         durations = self.durations
-        # A worker often has several tasks of one step.
+        # Cached by step, as a worker often has several tasks of one step.
         expected: dict[Step, tuple[float, bool]] = {}
         for (task, _), run in worker.runs.items():
             elapsed = run.percent_at - run.state_at
-            if elapsed <= 0 or elapsed < least:
+            if elapsed <= 0 or elapsed < min_elapsed:
                 continue
             if run.state is not RunState.RUNNING:
                 continue
             step = task.step
             if step.spec.lasting or run.paced_at or not run.decided_at:
-                # Adopted: how long and how fast it worked isn't known.
+                # An adopted run has no `decided_at`: how long and how fast it
+                # has run is unknown.
                 continue
             if durations.has_any_tail:
-                self._project(worker, step, run, elapsed)
+                self._note_projection(worker, step, run, elapsed)
             if step not in expected and durations.has_any_tail:
                 expected[step] = self._expected(step, worker)
             elif step not in expected:
@@ -195,25 +202,31 @@
             found.append((run, progress))
         return found
 
-    def _expected(self, step: Step, worker: Worker) -> _Expected:
+    def _expected(self, step: Step, worker: Worker) -> _ExpectedDuration:
         """Returns how long tasks of a step take on sound workers.
 
-        Where a queue has a tail, others of the step tell first of a long one.
+        In a queue with a long tail, the progress of other tasks of the step is
+        the first evidence that its tasks are long.
         """
         durations = self.durations
         if durations.has_measured_tasks(step):
-            return _Expected(durations.expected_duration(step), is_sure=True)
+            return _ExpectedDuration(
+                durations.expected_duration(step), is_sure=True
+            )
         elsewhere = self._projections.elsewhere(step, worker.number)
         if elsewhere is None:
-            return _Expected(durations.expected_duration(step), is_sure=False)
-        return _Expected(elsewhere, is_sure=True)
+            return _ExpectedDuration(
+                durations.expected_duration(step), is_sure=False
+            )
+        return _ExpectedDuration(elsewhere, is_sure=True)
 
-    def _project(
+    def _note_projection(
         self, worker: Worker, step: Step, run: Run, elapsed: float
     ) -> None:
-        """Notes what a run's progress tells of a step whose tasks may be long.
+        """Records the duration that a run's progress projects for its step.
 
-        It is asked for on other workers alone.
+        Only estimates for other workers use it, so that a slow worker isn't
+        judged by its own progress.
         """
         if elapsed < MIN_MEASURED_SECONDS or not run.percent:
             return
@@ -228,24 +241,30 @@
         loads: Mapping[str, float],
         now: float,
     ) -> None:
-        """Marks a worker that is in trouble, for as long as it is seen."""
-        # What fillers explain only excuses: it is looked up, for each pair of
-        # images, only where there is something to excuse.
+        """Marks a worker as unsound while its figures show trouble."""
+        # Disturbance by best-effort tasks can only excuse bad figures. It costs
+        # a look-up for each pair of images, so it is computed only if the
+        # figures are bad.
         sick = is_sick(readings, 0.0) and is_sick(
-            readings, self._explained(worker, loads)
+            readings, self._explained_by_best_effort(worker, loads)
         )
         runs = [
-            found for _, found in self._progress(worker, MIN_MEASURED_SECONDS)
+            found
+            for _, found in self._measured_progress(
+                worker, MIN_MEASURED_SECONDS
+            )
         ]
         slow = self._speeds.is_slow(worker.number, runs, now)
         if not sick and not slow:
             return
         if now > worker.unsound_until:
             note("worker_unsound", worker=worker.life.id, sick=sick, slow=slow)
-        worker.unsound_until = now + UNSOUND_FOR
+        worker.unsound_until = now + UNSOUND_SECONDS
 
-    def _explained(self, worker: Worker, loads: Mapping[str, float]) -> float:
-        """Returns what fillers add to the logarithm of the worst tail."""
+    def _explained_by_best_effort(
+        self, worker: Worker, loads: Mapping[str, float]
+    ) -> float:
+        """Returns the rise of the worst log tail due to best-effort tasks."""
         return max(
             (
                 self.disturbance.expected_increase(s, loads)
--- a/pimentocross/owner/ledger.py
+++ b/pimentocross/owner/ledger.py
@@ -1,4 +1,4 @@
-"""Writes what changed to the store, gathered, in order, as the sole writer."""
+"""Writes changed records to the store: batched, in order, as sole writer."""
 
 from collections.abc import Callable
 from functools import partial
@@ -27,27 +27,27 @@
 
 
 class Recordable(Protocol):
-    """Something whose newest form is kept under a key."""
+    """A record whose current value is stored under a key."""
 
     @property
     def key(self) -> str:
-        """Its key in the store."""
+        """Key in the store."""
         ...
 
     def encode(self) -> bytes | None:
-        """Returns its present form, or None to remove the key."""
+        """Returns the current value, or None to remove the key."""
         ...
 
     def stored(self) -> None:
-        """Notes that the form last encoded is in the store."""
+        """Called once the value that was last encoded is stored."""
         ...
 
 
 class Batch:
-    """Changes that go to the store together; `stored` once they are there."""
+    """Changes that are written together; `stored` is set afterwards."""
 
     def __init__(self) -> None:
-        """Starts empty."""
+        """Initializes an empty batch."""
         self.items: dict[str, Recordable] = {}
         self.stored = trio.Event()
 
@@ -56,15 +56,22 @@
     """The cell's records, written under the epoch of one owner.
 
     Attributes:
-        stored_at: When the newest acknowledged append was sent, monotonic.
-        appends: Appends that the store acknowledged.
-        end: Offset after the newest record that it acknowledged.
+        stored_at: Monotonic time at which the newest acknowledged append was
+            sent.
+        appends: Number of appends that the store acknowledged.
     """
 
     def __init__(
         self, store: Store, topic: str, producer: str, epoch: int
     ) -> None:
-        """Takes where to write and under which epoch."""
+        """Initializes a ledger; nothing is written before `open`.
+
+        Args:
+            store: The store.
+            topic: Topic to write to.
+            producer: Producer name by which the store fences former writers.
+            epoch: Epoch under which all records are written.
+        """
         self.stored_at = float("-inf")
         self.appends = 0
         self._store = store
@@ -72,19 +79,19 @@
         self._producer = producer
         self._epoch = epoch
         self._sequence = 0
-        self._open = Batch()
+        self._open_batch = Batch()
         self._changed = trio.Event()
-        self._append_since: float | None = None
-        # Tries of the append on its way that failed.
-        self._failures = 0
+        self._append_began_at: float | None = None
+        # Failed attempts of the append in progress.
+        self._failed_attempts = 0
 
     @property
     def store_away(self) -> bool:
-        """True if the store has not taken an append for a while."""
-        since = self._append_since
+        """Whether the store has not acknowledged an append for a while."""
+        since = self._append_began_at
         if since is None:
             return False
-        if self._failures >= const.AWAY_FAILURES:
+        if self._failed_attempts >= const.AWAY_FAILURES:
             return True
         return trio.current_time() - since > const.AWAY_AFTER
 
@@ -93,34 +100,34 @@
         return trio.current_time() - self.stored_at
 
     def put(self, item: Recordable) -> Batch:
-        """Has an item's newest form written; returns the batch it is in."""
-        self._open.items[item.key] = item
+        """Writes an item's current value; returns the batch that holds it."""
+        self._open_batch.items[item.key] = item
         self._changed.set()
-        return self._open
+        return self._open_batch
 
     def put_with_next(self, item: Recordable) -> None:
-        """Has an item's newest form written with the next append."""
-        self._open.items[item.key] = item
+        """Adds an item to the next append without triggering one."""
+        self._open_batch.items[item.key] = item
 
     def barrier(self) -> Batch:
-        """Returns a batch that is stored after all changes so far."""
+        """Returns a batch that is stored once all changes so far are."""
         self._changed.set()
-        return self._open
+        return self._open_batch
 
     async def open(self) -> None:
-        """Fences every former writer.
+        """Fences all writers of lower epochs by an empty append.
 
         Raises:
-            FencedError: There is a newer one.
+            FencedError: A writer of a higher epoch exists.
             StoreUnavailableError: The store did not answer.
         """
-        answered = await self._ask([])
+        answered = await self._append_once([])
         if isinstance(answered.value, Exception):
             raise answered.value
         self.stored_at = answered.asked_at
 
     async def run(self) -> None:
-        """Writes batches for ever.
+        """Writes batches until cancelled, and heartbeats while idle.
 
         Raises:
             FencedError: Another owner has taken over.
@@ -129,7 +136,7 @@
             with trio.move_on_after(const.BEAT_INTERVAL):
                 await self._changed.wait()
                 await trio.sleep(const.BATCH_PAUSE)
-            batch, self._open = self._open, Batch()
+            batch, self._open_batch = self._open_batch, Batch()
             self._changed = trio.Event()
             await self._write(batch)
             for item in batch.items.values():
@@ -140,19 +147,23 @@
         records = [Record(i.key, i.encode()) for i in batch.items.values()]
         if not records:
             records = [Record(const.BEAT_KEY, b"")]
-        for part in _split(records):
-            await self._append(part)
+        for chunk in _split_by_size(records):
+            await self._append(chunk)
 
     async def _append(self, records: list[Record]) -> None:
-        """Appends until the store has acknowledged it."""
-        self._append_since = trio.current_time()
+        """Repeats an append until the store has acknowledged it.
+
+        Raises:
+            FencedError: Another owner has taken over.
+        """
+        self._append_began_at = trio.current_time()
         while True:
             try:
-                answered = await self._ask(records)
+                answered = await self._append_once(records)
             except StoreUnavailableError as error:
-                if not self._failures:
+                if not self._failed_attempts:
                     note("append_failed", reason=str(error), epoch=self._epoch)
-                self._failures += 1
+                self._failed_attempts += 1
                 await trio.sleep(const.APPEND_RETRY_PAUSE)
                 continue
             refusal = answered.value
@@ -168,33 +179,38 @@
             if refusal.expected == self._sequence + 1:
                 break
             self._sequence = refusal.expected
-        if self._failures:
-            note("append_stored", after=self._failures, epoch=self._epoch)
-        self._failures = 0
+        if self._failed_attempts:
+            note(
+                "append_stored", after=self._failed_attempts, epoch=self._epoch
+            )
+        self._failed_attempts = 0
         self._sequence += 1
         self.appends += 1
         self.stored_at = answered.asked_at
-        self._append_since = None
+        self._append_began_at = None
 
-    async def _ask(self, records: list[Record]) -> Answered[_Refusal | None]:
-        """Appends under this epoch's next number; asks again if overdue.
+    async def _append_once(
+        self, records: list[Record]
+    ) -> Answered[_Refusal | None]:
+        """Appends with this epoch's next sequence number.
 
-        An append that the store never got would keep records back after its
-        return. The number makes a repeat the same append.
+        Sends the append again if its answer is overdue: a request that the
+        store never got would otherwise delay all records after an outage until
+        its timeout. The sequence number makes the repeat idempotent.
 
         Raises:
             StoreUnavailableError: No usable answer.
         """
         mark = ProducerMark(self._producer, self._epoch, self._sequence)
-        append = partial(self._try, records, mark)
+        append = partial(self._send_append, records, mark)
         return await first_answer(
             append, 0.0, const.APPEND_TIMEOUT, AGAIN_AFTER
         )
 
-    async def _try(
+    async def _send_append(
         self, records: list[Record], mark: ProducerMark, question: Question
     ) -> _Refusal | None:
-        """Returns why the store refuses for good, or None if it doesn't."""
+        """Returns why the store refuses an append for good, or None."""
         try:
             await self._store.append(
                 self._topic,
@@ -208,39 +224,39 @@
         return None
 
 
-def _split(records: list[Record]) -> list[list[Record]]:
-    parts: list[list[Record]] = [[]]
+def _split_by_size(records: list[Record]) -> list[list[Record]]:
+    chunks: list[list[Record]] = [[]]
     size = 0
     for record in records:
         length = len(record.key) + len(record.value or b"")
-        if size + length > const.APPEND_BYTES and parts[-1]:
-            parts.append([])
+        if size + length > const.APPEND_BYTES and chunks[-1]:
+            chunks.append([])
             size = 0
-        parts[-1].append(record)
+        chunks[-1].append(record)
         size += length
-    return parts
+    return chunks
 
 
 class LazyRecord:
-    """A key with a value made when it is written."""
+    """A record whose value is computed when it is written."""
 
     def __init__(
         self,
         key: str,
         encode: Callable[[], bytes | None],
     ) -> None:
-        """Takes the key and what returns its value."""
+        """Initializes a record with its key and a function for its value."""
         self._key = key
         self._encode = encode
 
     @property
     def key(self) -> str:
-        """Its key in the store."""
+        """Key in the store."""
         return self._key
 
     def encode(self) -> bytes | None:
-        """Returns its present form."""
+        """Returns the current value, or None to remove the key."""
         return self._encode()
 
     def stored(self) -> None:
-        """Has nothing to note."""
+        """Does nothing: no state depends on whether it is stored."""
--- a/pimentocross/owner/load_log.py
+++ b/pimentocross/owner/load_log.py
@@ -1,4 +1,4 @@
-"""Logs now and then what the workers carry and what waits."""
+"""Logs the load of the workers and the waiting tasks periodically."""
 
 from collections.abc import Iterable, Sequence
 from typing import Final
@@ -9,44 +9,44 @@
 from pimentocross.placement.host import left_over
 from pimentocross.work.state import Step
 
-# Seconds between two lines.
-_INTERVAL: Final = 1.0
+# Seconds between two log lines.
+_LOG_INTERVAL: Final = 1.0
 
 
 class LoadLog:
-    """Writes one line a second at most."""
+    """Writes at most one log line a second."""
 
     def __init__(self) -> None:
-        """Has written none yet."""
+        """Initializes a log whose first line is due."""
         self._logged_at = 0.0
 
     def is_due(self, now: float) -> bool:
-        """True if the next line may be written."""
-        return now - self._logged_at >= _INTERVAL
+        """Returns whether the next line may be written."""
+        return now - self._logged_at >= _LOG_INTERVAL
 
     def write(
         self,
         workers: Sequence[Worker],
         closed: int,
         steps: Iterable[Step],
-        room: RoomKeeper,
-        away: Iterable[Step],
+        reserve: RoomKeeper,
+        unreachable: Iterable[Step],
         now: float,
     ) -> None:
-        """Writes a line.
+        """Writes a log line.
 
         Args:
-            workers: Those in use.
-            closed: Capacity in zones that take nothing new, thousandths.
-            steps: All that wait.
-            room: Knows what short work has and may have.
-            away: The step of each run on a worker that can't be heard.
-            now: Present time.
+            workers: Workers in use.
+            closed: Capacity in zones that take no new tasks, millicores.
+            steps: All waiting steps.
+            reserve: Capacity that short runs use and may use.
+            unreachable: The step of each run on an unreachable worker.
+            now: Current monotonic time.
         """
         self._logged_at = now
         runs = [(t, r) for w in workers for t, r in w.running()]
         waiting = [(step, step.waiting_count) for step in steps]
-        away_lasting = [step.spec.lasting for step in away]
+        unreachable_lasting = [step.spec.lasting for step in unreachable]
         note(
             "load",
             capacity=sum(w.life.capacity.cpu for w in workers),
@@ -62,8 +62,8 @@
             waiting=sum(count for _, count in waiting),
             waiting_fillers=sum(c for step, c in waiting if step.spec.fills),
             waiting_lasting=sum(c for step, c in waiting if step.spec.lasting),
-            away=len(away_lasting),
-            away_lasting=sum(away_lasting),
-            short=int(room.taken),
-            short_share=int(room.share),
+            away=len(unreachable_lasting),
+            away_lasting=sum(unreachable_lasting),
+            short=int(reserve.taken),
+            short_share=int(reserve.share),
         )
--- a/pimentocross/owner/owner.py
+++ b/pimentocross/owner/owner.py
@@ -1,4 +1,4 @@
-"""Owns a cell: all parts put together under one epoch."""
+"""Runs the owner of a cell: schedules its jobs under one epoch."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -18,7 +18,7 @@
 from pimentocross.owner import const
 from pimentocross.owner.admission import Admission
 from pimentocross.owner.breather import Breather
-from pimentocross.owner.collector import survivors_left_out, uncollected
+from pimentocross.owner.collector import collection_paused, freeze_survivors
 from pimentocross.owner.crashes import Crashes
 from pimentocross.owner.dispatcher import Dispatcher
 from pimentocross.owner.doubts import Doubts
@@ -48,7 +48,7 @@
 
 
 class CellPlatform(NamedTuple):
-    """What an owner needs of the platform."""
+    """Platform services and settings that an owner uses."""
 
     store: Store
     directory: WorkerDirectory
@@ -63,11 +63,11 @@
     """The right to own a cell.
 
     Attributes:
-        topic: Where the cell's records are.
-        epoch: Of the claim; the fencing token at workers.
+        topic: Topic that holds the cell's records.
+        epoch: Epoch of the claim; the fencing token at workers.
         former_quiet: Whether no former owner renews leases any more, as far
             as the newest claim tells.
-        predecessors: Former owners that are known, the newest first.
+        predecessors: Known former owners, the newest first.
     """
 
     topic: str
@@ -80,12 +80,13 @@
     """Runs a cell's jobs until another owner takes over.
 
     Attributes:
-        epoch: Its claim's.
-        desk: Answers callers.
-        opened: Set once no former owner can write any more.
-        ready: Set once it has taken the cell's state over.
-        settled: Set once it has heard what runs on the workers, too.
-        lateness: How late its thread is while it runs.
+        epoch: Epoch of its claim.
+        job_api: Submits, cancels and looks up jobs for callers.
+        opened: Set once no former owner can write to the store any more.
+        ready: Set once the owner has loaded the cell's state.
+        settled: Set once all workers have listed their runs, or the time
+            limit for that has passed.
+        lateness: How late the event loop is while the owner runs.
     """
 
     def __init__(
@@ -94,13 +95,13 @@
         platform: CellPlatform,
         config: Callable[[], WorkConfig],
     ) -> None:
-        """Puts the parts together; `run` starts them."""
+        """Creates all components; `run` starts them."""
         self.epoch = claim.epoch
         self.opened = trio.Event()
         self.ready = trio.Event()
         self.settled = trio.Event()
         self.lateness = LoopLateness()
-        self._log = TakeOverLog(self.epoch)
+        self._take_over_log = TakeOverLog(self.epoch)
         self._claim = claim
         self._platform = platform
         self._ledger = Ledger(
@@ -144,10 +145,10 @@
         self._admission = Admission(
             self._dispatcher.backlog,
             self._learned,
-            self._settled_for,
+            self._seconds_since_settled,
             refuses=platform.switches.is_on(Part.ADMISSION),
         )
-        self._takes_up = platform.switches.is_on(Part.INTAKE)
+        self._uses_intake = platform.switches.is_on(Part.INTAKE)
         self._intake = Intake(
             platform.store,
             self._registry,
@@ -160,42 +161,42 @@
             self._ledger,
             self._dispatcher.wake,
             self._admission,
-            lambda: not self._takes_up or self._intake.is_current,
+            lambda: not self._uses_intake or self._intake.is_current,
         )
         self._settled_at = 0.0
         self._release = trio.Event()
 
     @property
     def ledger(self) -> Ledger:
-        """Where it records."""
+        """Writer of the cell's records."""
         return self._ledger
 
     @property
     def takeover_age(self) -> float:
-        """For how many seconds it has been taking over; 0 once it has."""
+        """Seconds since the take-over began; 0 once it is complete."""
         if self.settled.is_set():
             return 0.0
-        return self._log.age
+        return self._take_over_log.age
 
     def backlog(self) -> dict[str, float]:
-        """Returns the core-seconds by queue that wait for scarce room."""
+        """Returns core-seconds that wait for scarce capacity, by queue."""
         return self._dispatcher.backlog.work_by_queue()
 
-    def _settled_for(self) -> float:
+    def _seconds_since_settled(self) -> float:
         if not self.settled.is_set():
             return 0.0
         return trio.current_time() - self._settled_at
 
     async def run(self) -> None:
-        """Owns the cell until `release`.
+        """Owns the cell until `release` is called.
 
         Raises:
-            FencedError: Another owner has taken over, as the store knows.
-            WorkerFencedError: The same, as a worker knows.
+            FencedError: The store has met the epoch of a newer owner.
+            WorkerFencedError: A worker has met the epoch of a newer owner.
             StoreUnavailableError: The cell's state can't be read.
-            ExceptionGroup: Of these.
+            ExceptionGroup: Several of these errors.
         """
-        with survivors_left_out():
+        with freeze_survivors():
             await self._run()
 
     async def _run(self) -> None:
@@ -204,22 +205,22 @@
         self.opened.set()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.lateness.run)
-            # Beats from the first moment on: who suspects a new owner that
-            # reads a large state sees that it lives.
+            # Heartbeats start before the state is loaded: peers would
+            # otherwise suspect an owner that is busy reading a large state.
             nursery.start_soon(self._ledger.run)
-            with uncollected():
-                await self._load()
-            if self._takes_up:
+            with collection_paused():
+                await self._load_state()
+            if self._uses_intake:
                 await self._intake.open()
             await self._work()
-            # What was heard up to now isn't heard by a successor again if its
-            # worker leaves.
+            # Stores the endings received so far: a successor doesn't get them
+            # again if their worker has left meanwhile.
             with trio.move_on_after(const.LAST_RECORD_WAIT):
                 await self._ledger.barrier().stored.wait()
             nursery.cancel_scope.cancel()
 
     async def _work(self) -> None:
-        """Does all that an owner does until the cell is given back."""
+        """Schedules jobs and follows workers until the cell is released."""
         parts = self._make_parts()
         async with trio.open_nursery() as nursery:
             self._late_starts.open(nursery.start_soon)
@@ -232,25 +233,31 @@
             )
             self._former_leases.relate()
             await self._roster.poll()
-            # Keepers begin afterwards: none may hear of a run before.
+            # Keepers start after this: a listing must not report a run before
+            # the recorded runs are adopted.
             self._lived_runs.adopt(runs)
             self._roster.adopt(runs)
             self._repeats.begin()
             self._former_leases.begin_record(self._roster.lease_rows)
             self.ready.set()
-            self._log.note("owner_ready", jobs=len(self._registry))
-            nursery.start_soon(self._decide, orders)
-            if self._takes_up:
+            self._take_over_log.note("owner_ready", jobs=len(self._registry))
+            nursery.start_soon(self._run_decisions, orders)
+            if self._uses_intake:
                 nursery.start_soon(self._intake.run)
             await self._roster.start_keepers()
-            nursery.start_soon(self._settle)
+            nursery.start_soon(self._wait_for_adoption)
             nursery.start_soon(self._roster.follow)
             nursery.start_soon(self._lived_runs.follow)
-            nursery.start_soon(self._sweep, parts.crashes)
-            nursery.start_soon(self._log.follow_adoption, self._roster.workers)
-            nursery.start_soon(self._log.note_start, orders.started)
+            nursery.start_soon(self._sweep_periodically, parts.crashes)
+            nursery.start_soon(
+                self._take_over_log.log_adoption, self._roster.workers
+            )
+            nursery.start_soon(
+                self._take_over_log.log_first_start, orders.started
+            )
             await self._release.wait()
-            # Leases are renewed until then: the store may be away.
+            # Leases are renewed until everything is stored, since the store
+            # may be unavailable for a while.
             await self._ledger.barrier().stored.wait()
             self._former_leases.record()
             nursery.cancel_scope.cancel()
@@ -276,11 +283,12 @@
             self._former_leases,
         )
 
-    async def _decide(self, orders: Orders) -> None:
-        """Decides until the cell is given back.
+    async def _run_decisions(self, orders: Orders) -> None:
+        """Makes scheduling decisions until the cell is released.
 
-        Decisions take most of a weak VM's thread, which delays the hand-over
-        by seconds, and its successor decides anew.
+        They stop at the release, as they take most of a slow VM's processor
+        time and would delay the hand-over by seconds. The successor makes its
+        own decisions.
         """
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._dispatcher.run, orders)
@@ -289,41 +297,48 @@
             nursery.cancel_scope.cancel()
 
     def note_former_ended(self, epoch: int) -> None:
-        """Notes that a former owner surely renews no lease any more."""
+        """Records that a former owner certainly renews no lease any more."""
         self._roster.note_former_ended(epoch)
 
     async def ensure_known(self, job_id: str) -> bool:
-        """Has a job known that an entry VM has just stored.
+        """Imports a job that an entry VM may just have stored.
 
-        Its caller may ask for it before it was taken up.
+        Its caller may ask for the job before the intake has imported it.
 
         Returns:
-            Whether it is known now, or surely wasn't stored before.
+            True if the job is known now, or certainly wasn't stored before
+            this call.
         """
-        if not self._takes_up or self.job_api.knows(job_id):
+        if not self._uses_intake or self.job_api.knows(job_id):
             return True
         return await self._intake.catch_up() or self.job_api.knows(job_id)
 
     async def cancel(self, job_id: str) -> JobReply:
-        """Cancels a job, unless it may be one that isn't known here yet."""
+        """Cancels a job.
+
+        Replies `STORE_AWAY` if the job may be stored but not imported yet.
+        """
         if not await self.ensure_known(job_id):
             return JobReply(Outcome.STORE_AWAY)
         return await self.job_api.cancel(job_id)
 
     def release(self) -> None:
-        """Has `run` return once all changes so far are stored."""
+        """Makes `run` return once all changes so far are stored."""
         self._release.set()
 
-    async def _settle(self) -> None:
-        """Notes when all workers have listed what runs."""
+    async def _wait_for_adoption(self) -> None:
+        """Sets `settled` once all workers have listed their runs.
+
+        Stops waiting after a time limit.
+        """
         with trio.move_on_after(const.SETTLE_MOST):
             while not all(w.adopted for w in self._roster.workers()):
                 await trio.sleep(const.SETTLE_LOOK)
         self._settled_at = trio.current_time()
         self.settled.set()
-        self._log.note("owner_settled")
+        self._take_over_log.note("owner_settled")
 
-    async def _load(self) -> None:
+    async def _load_state(self) -> None:
         page = await self._platform.store.newest(
             self._claim.topic, const.NEWEST_TIMEOUT
         )
@@ -348,15 +363,15 @@
                 note("record_unreadable", key=record.key, reason=str(error))
         for job in jobs.values():
             await breather.breathe()
-            _restore(job, progress.get(job.id), records.decode_progress)
-            _restore(job, histories.get(job.id), records.decode_crashes)
+            _apply_record(job, progress.get(job.id), records.decode_progress)
+            _apply_record(job, histories.get(job.id), records.decode_crashes)
             self._registry.restore(job)
-        self._log.note(
+        self._take_over_log.note(
             "owner_read", records=len(page.records), jobs=len(self._registry)
         )
 
     async def _collect_runs(self) -> list[tuple[Task, Run]]:
-        """Returns the runs that were recorded."""
+        """Returns all recorded runs and their tasks."""
         breather = Breather()
         runs = []
         for job in self._registry.jobs():
@@ -393,7 +408,7 @@
                 int(name), records.decode_born(value)
             )
 
-    async def _sweep(self, crashes: Crashes) -> None:
+    async def _sweep_periodically(self, crashes: Crashes) -> None:
         while True:
             await trio.sleep(const.SWEEP_INTERVAL)
             self._registry.sweep()
@@ -401,10 +416,10 @@
             self._ledger.put(LazyRecord(records.LEARNED, self._learned.encode))
 
 
-def _restore(
+def _apply_record(
     job: Job, value: bytes | None, decode: Callable[[Job, bytes], None]
 ) -> None:
-    """Brings a job to where one of its records says, if that can be read."""
+    """Applies a record to a job; logs a record that can't be decoded."""
     if value is None:
         return
     try:
--- a/pimentocross/owner/take_over_log.py
+++ b/pimentocross/owner/take_over_log.py
@@ -1,4 +1,4 @@
-"""Tells how far an owner has come with taking a cell over."""
+"""Logs the phases of an owner's take-over of a cell."""
 
 from collections.abc import Callable, Iterable
 from typing import Final
@@ -8,17 +8,17 @@
 from pimentocross.observe.decisions import note
 from pimentocross.owner.worker import Worker
 
-# Seconds between two lines about workers, and how long they are written: then
-# what is missing is a matter of those workers.
-_INTERVAL: Final = 1.0
-_FOLLOWED: Final = 60.0
+# Seconds between two log lines about adopted workers, and seconds for which
+# they are written: workers still missing then have a problem of their own.
+_LOG_INTERVAL: Final = 1.0
+_ADOPTION_LOG_PERIOD: Final = 60.0
 
 
 class TakeOverLog:
-    """Writes a line for each phase, with the seconds since it began."""
+    """Logs each phase with the seconds since the take-over began."""
 
     def __init__(self, epoch: int) -> None:
-        """Begins now."""
+        """Initializes a log of a take-over that begins now."""
         self._epoch = epoch
         self._began = trio.current_time()
 
@@ -27,25 +27,25 @@
         """Seconds since the take-over began."""
         return trio.current_time() - self._began
 
-    async def follow_adoption(
+    async def log_adoption(
         self, workers: Callable[[], Iterable[Worker]]
     ) -> None:
-        """Tells how many workers have listed what runs, as it changes."""
-        told = -1
-        while trio.current_time() - self._began < _FOLLOWED:
-            await trio.sleep(_INTERVAL)
+        """Logs how many workers have listed their runs, whenever it changes."""
+        last_count = -1
+        while trio.current_time() - self._began < _ADOPTION_LOG_PERIOD:
+            await trio.sleep(_LOG_INTERVAL)
             adopted = [worker.adopted for worker in workers()]
             count = sum(adopted)
-            if count != told:
+            if count != last_count:
                 self.note("owner_adopts", workers=count, of=len(adopted))
-                told = count
+                last_count = count
 
-    async def note_start(self, started: trio.Event) -> None:
-        """Tells of the first run that began under this owner."""
+    async def log_first_start(self, started: trio.Event) -> None:
+        """Logs the first run that is started by this owner."""
         await started.wait()
         self.note("owner_starts")
 
     def note(self, kind: str, **fields: object) -> None:
-        """Tells of a phase that has ended."""
+        """Logs the end of a phase."""
         seconds = round(trio.current_time() - self._began, 3)
         note(kind, epoch=self._epoch, seconds=seconds, **fields)
--- a/tests/owner_fixtures.py
+++ b/tests/owner_fixtures.py
@@ -1,4 +1,4 @@
-"""Fixtures of the owner's tests: a cell of stand-in workers and a store."""
+"""Fixtures for tests of the owner, with stand-in workers and a store."""
 
 from collections import Counter
 from collections.abc import AsyncIterator, Callable
@@ -38,36 +38,36 @@
 )
 SMALL = Size(1000, 1000, 0)
 WORKER_CAPACITY = Size(8000, 16000, 0)
-# An order of a stand-in arrives within this, in seconds.
-_ON_ITS_WAY = 0.01
+# Seconds within which an order reaches a stand-in worker.
+_ORDER_TRANSIT = 0.01
 
 
 ZONES = ("north", "south", "west")
 
 
 class ClosedZones:
-    """Zones that are closed as told; see `ZoneAccess`.
+    """Zone access that tests open and close; see `ZoneAccess`.
 
     Attributes:
-        closed: Those that are closed, and since when.
+        closed: Closed zones with the time of their closing.
     """
 
     def __init__(self) -> None:
-        """Starts with all zones open."""
+        """Initializes access with all zones open."""
         self.closed: dict[str, float] = {}
         self._spans: list[tuple[str, float, float]] = []
 
     def is_open(self, zone: str) -> bool:
-        """Returns whether a zone isn't closed."""
+        """Returns whether a zone is open."""
         return zone not in self.closed
 
     def close(self, *zones: str) -> None:
-        """Closes zones from now on."""
+        """Closes zones."""
         for zone in zones:
             self.closed.setdefault(zone, trio.current_time())
 
     def open(self, zone: str) -> None:
-        """Opens a zone again, if it was closed."""
+        """Opens a zone if it is closed."""
         since = self.closed.pop(zone, None)
         if since is not None:
             self._spans.append((zone, since, trio.current_time()))
@@ -78,7 +78,7 @@
             self.open(zone)
 
     def change(self, draw: random.Random) -> None:
-        """Closes an open zone or opens a closed one, as drawn."""
+        """Opens or closes a random zone."""
         zone = draw.choice(ZONES)
         if self.is_open(zone):
             self.close(zone)
@@ -86,9 +86,9 @@
             self.open(zone)
 
     def was_closed(self, zone: str, at: float) -> bool:
-        """Returns whether a zone was closed for a while before a moment.
+        """Returns whether a zone had been closed for a while at a given time.
 
-        An order that was on its way as it was closed arrives within that.
+        Allows for orders that were in transit when the zone was closed.
         """
         now = trio.current_time()
         spans = [
@@ -96,13 +96,13 @@
             *((zone, since, now) for zone, since in self.closed.items()),
         ]
         return any(
-            zone == closed and since + _ON_ITS_WAY < at < until
+            zone == closed and since + _ORDER_TRANSIT < at < until
             for closed, since, until in spans
         )
 
 
 def life(number: int, generation: int = 0, rack: str = "r1") -> WorkerLife:
-    """Returns a worker's life as listed."""
+    """Returns a worker life as the directory lists it."""
     return WorkerLife(
         f"w{number}-{generation}",
         f"m{number}",
@@ -118,14 +118,14 @@
 
 
 def quick(_: TaskName) -> TaskPlan:
-    """Returns the plan of a task of half a second."""
+    """Returns the plan of a task that takes half a second."""
     return TaskPlan(0.5, SMALL)
 
 
 def make_hall(
     workers: int = 4, plan: Callable[[TaskName], TaskPlan] = quick
 ) -> WorkerHall:
-    """Returns workers of 8 cores each."""
+    """Returns stand-in workers of 8 cores each."""
     hall = WorkerHall()
     for number in range(workers):
         hall.add(
@@ -135,12 +135,12 @@
 
 
 def spec(*steps: StepSpec) -> JobSpec:
-    """Returns a job of steps, one after the other if there are several."""
+    """Returns the specification of a job with the given steps."""
     return JobSpec("payload", steps)
 
 
 def chain(width: int = 3, steps: int = 2) -> JobSpec:
-    """Returns a job of equal steps, each after the one before it."""
+    """Returns a job of equal steps, each of which follows the previous one."""
     return spec(
         *(
             StepSpec(width, SMALL, 0.5, (n - 1,) if n else ())
@@ -161,7 +161,7 @@
     zones: ZoneAccess | None = None,
     switches: Switches = ALL_ON,
 ) -> Owner:
-    """Returns an owner under an epoch; lower ones have owned before."""
+    """Returns an owner with an epoch; all lower epochs are predecessors."""
     access = hall.access(vm)
     platform = CellPlatform(
         store.client(vm),
@@ -180,10 +180,10 @@
 
 @asynccontextmanager
 async def running(owner: Owner) -> AsyncIterator[Owner]:
-    """Runs an owner; it is killed at the end of the block.
+    """Runs an owner and kills it at the end of the block.
 
     Raises:
-        OwnerEndedError: It ended before it had taken the state over.
+        OwnerEndedError: The owner ended before it was ready.
     """
     ended = trio.Event()
     async with trio.open_nursery() as nursery:
@@ -197,14 +197,15 @@
 
 
 class OwnerEndedError(Exception):
-    """An owner could not take the cell over; the next epoch has to."""
+    """An owner ended before its take-over was complete."""
 
 
 async def _run(owner: Owner, ended: trio.Event) -> None:
     try:
         await owner.run()
     except* (FencedError, WorkerFencedError, StoreUnavailableError):
-        # Superseded, or without the store: as the process does, it ends.
+        # The owner was superseded or can't read the store. It ends, as it does
+        # in the entry VM's process.
         pass
     finally:
         ended.set()
@@ -213,14 +214,14 @@
 async def wait_until(
     condition: Callable[[], bool], timeout: float = 30.0
 ) -> None:
-    """Waits for a condition."""
+    """Waits until a condition holds."""
     with trio.fail_after(timeout):
         while not condition():
             await trio.sleep(0.05)
 
 
 def longest_interruption(journal: list[RunEvent]) -> float:
-    """Returns the longest time between a stop and the next start."""
+    """Returns the longest time between a task's stop and its next start."""
     stopped: dict[TaskName, float] = {}
     longest = 0.0
     for event in journal:
@@ -232,7 +233,7 @@
 
 
 def find_overlapping_starts(journal: list[RunEvent]) -> list[RunEvent]:
-    """Returns starts of a task while another run of it was on a worker."""
+    """Returns starts of a task while another run of it was alive."""
     alive: dict[TaskName, set[tuple[str, int]]] = {}
     found = []
     for event in journal:
@@ -247,10 +248,10 @@
 
 
 def find_starts_after_success(journal: list[RunEvent]) -> list[RunEvent]:
-    """Returns starts of a task after a run of it had ended well.
+    """Returns starts of a task after a run of it had succeeded.
 
-    Only endings count that an owner took note of, then or later: those of a
-    worker that crashed first are lost, and the task has to run again.
+    Counts only endings that an owner acknowledged, then or later. If a worker
+    crashes before that, the ending is lost and the task has to run again.
     """
     noted = {
         (event.worker, event.task, event.run)
@@ -271,7 +272,7 @@
 
 
 def find_starts_over_attempts(journal: list[RunEvent]) -> list[RunEvent]:
-    """Returns starts after a task's attempts had failed, as was noted."""
+    """Returns starts after all attempts had failed, as acknowledged."""
     noted = {
         (event.worker, event.task, event.run)
         for event in journal
@@ -290,7 +291,7 @@
 
 
 def find_crash_loops(journal: list[RunEvent]) -> list[RunEvent]:
-    """Returns starts of a task beyond two after three workers crashed by it."""
+    """Returns starts beyond the second one after a task's third crash."""
     crashes: Counter[TaskName] = Counter()
     starts: Counter[TaskName] = Counter()
     found = []
@@ -305,7 +306,7 @@
 
 
 def used_all_attempts(journal: list[RunEvent], job: str) -> bool:
-    """True if a task of a job failed as often as its queue allows."""
+    """Returns whether a task of a job failed as often as its queue allows."""
     failures = Counter(
         event.task
         for event in journal
@@ -315,10 +316,10 @@
 
 
 def crashed_twice_under(journal: list[RunEvent], job: str) -> bool:
-    """True if two workers crashed in a row under a task of a job.
+    """Returns whether a task of a job was in two worker crashes in a row.
 
-    An end between them counts if it was taken note of, else it went with its
-    worker.
+    An ending between them breaks the row only if it was acknowledged;
+    otherwise it was lost with its worker.
     """
     crashes: Counter[TaskName] = Counter()
     for event in journal:
@@ -334,5 +335,5 @@
 
 
 def count(journal: list[RunEvent], what: str) -> int:
-    """Returns how many events of a kind there are."""
+    """Returns the number of events of a kind."""
     return sum(event.what == what for event in journal)
--- a/tests/slow_vm.py
+++ b/tests/slow_vm.py
@@ -1,10 +1,10 @@
-"""A clock on which processor time counts, and a large cell of stand-ins on it.
+"""A clock that advances with processor time, and a large cell that uses it.
 
-In virtual time code costs nothing, so that no test sees a process that has
-more to do than its VM carries. On this clock time passes while code runs, as
-on a VM that is slower than this machine by a factor, and it jumps when every
-task waits. What stand-ins do costs nothing; each call to a worker costs what
-the product's HTTP client was measured to need.
+In plain virtual time code takes no time, so that tests can't show a process
+that is overloaded. This clock advances while code runs, as on a VM that is
+slower than this machine by a factor, and jumps when all tasks wait. Code of the
+stand-ins takes no time; each call to a worker takes the processor time that the
+product's HTTP client was measured to need.
 """
 
 from collections.abc import Awaitable, Callable, Iterator
@@ -38,66 +38,66 @@
 )
 from pimentocross.work.spec import Size, TaskName
 
-# Processor seconds of one call at the caller's end over loopback HTTP: half of
-# what `python -m bench owner` gives for both ends.
+# Processor seconds of one call on the client side over loopback HTTP: half of
+# what `python -m bench owner` reports for both sides.
 CALL_COST: Final = 0.0001
 CAPACITY: Final = Size(32_000, 128_000, 0)
-_RACK: Final = 20
-# Processor seconds of the loop below on the machine that factors refer to.
-_LOOP_REFERENCE: Final = 0.0095
-_LOOPS: Final = 60_000
+_WORKERS_PER_RACK: Final = 20
+# Processor seconds of `_measure_loop` on the machine to which factors refer.
+_REFERENCE_LOOP_SECONDS: Final = 0.0095
+_LOOP_ITERATIONS: Final = 60_000
 
 
 class ChargingClock(trio.abc.Clock):
-    """Time that passes by the processor time used, and jumps over waits.
+    """Clock that advances with used processor time and skips waits.
 
     Attributes:
-        factor: By how much the VM is slower than this machine.
+        factor: How many times slower the VM is than this machine.
     """
 
     def __init__(self, factor: float) -> None:
-        """Takes the factor."""
+        """Initializes a clock of a VM that is slower by `factor`."""
         self.factor = factor
         self._skipped = 1_000.0
-        self._free = 0.0
-        self._free_depth = 0
+        self._uncharged_seconds = 0.0
+        self._uncharged_depth = 0
         self._began = time.thread_time()
 
     def start_clock(self) -> None:
-        """Begins to charge."""
+        """Starts to count processor time."""
         self._began = time.thread_time()
 
     def current_time(self) -> float:
-        """Returns the time."""
-        used = time.thread_time() - self._began - self._free
+        """Returns the virtual time in seconds."""
+        used = time.thread_time() - self._began - self._uncharged_seconds
         return self._skipped + used * self.factor
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
-        """Jumps to a deadline, as nothing can happen before it."""
+        """Advances the clock to a deadline, as no task can run before it."""
         left = deadline - self.current_time()
         if 0 < left < 1e9:
             self._skipped += left
         return 0.0 if left < 1e9 else 0.01
 
     def charge(self, seconds: float) -> None:
-        """Charges processor time that this machine does not use."""
+        """Advances the clock by processor time that isn't actually used."""
         self._skipped += seconds * self.factor
 
     @contextmanager
     def free(self) -> Iterator[None]:
-        """Charges nothing for what is done in the block."""
+        """Excludes the processor time of the block from the clock."""
         began = time.thread_time()
-        self._free_depth += 1
+        self._uncharged_depth += 1
         try:
             yield
         finally:
-            self._free_depth -= 1
-            if not self._free_depth:
-                self._free += time.thread_time() - began
+            self._uncharged_depth -= 1
+            if not self._uncharged_depth:
+                self._uncharged_seconds += time.thread_time() - began
 
 
-class FreeWorker(TaskWorkerStandin):
-    """A stand-in whose own work isn't charged, and that gives figures."""
+class UnchargedWorker(TaskWorkerStandin):
+    """Stand-in worker that reports figures and takes no time on the clock."""
 
     def __init__(
         self,
@@ -107,29 +107,29 @@
         journal: list[RunEvent],
         seed: int,
     ) -> None:
-        """Takes the clock; the rest is the stand-in's."""
+        """Initializes a worker on a clock; see `TaskWorkerStandin`."""
         super().__init__(life, plan, journal, seed=seed)
         self.charging = clock
         self._figures = random.Random(seed)
 
     def figure(self, plan: TaskPlan) -> int:
-        """Returns figures as of tasks that serve or fill."""
+        """Returns a figure as a serving or best-effort task would report."""
         ratio = self._figures.uniform(0.3, 0.9)
         whole = TARGET if plan.seconds == LASTS else plan.size.cpu
         return int(whole * ratio)
 
 
 class ChargedLink(TaskWorkerLink):
-    """Charges each call, and gives a call up as the product's client does.
+    """Link that charges each call and times out as the product's client does.
 
-    What has come too late for the caller's timeout is no answer, also if it was
-    the caller that was late to look.
+    An answer after the caller's timeout doesn't count, even if it was the
+    caller that read it late.
     """
 
-    def __init__(self, worker: FreeWorker, cut: set[str]) -> None:
-        """Takes the worker, and lives that can't be reached."""
+    def __init__(self, worker: UnchargedWorker, cut: set[str]) -> None:
+        """Initializes a link to a worker; lives in `cut` are unreachable."""
         super().__init__(worker, cut)
-        self._free_worker = worker
+        self._uncharged_worker = worker
 
     async def hold(
         self,
@@ -140,7 +140,7 @@
         timeout: float,
     ) -> HoldReply:
         """Lists runs and endings."""
-        worker = self._free_worker
+        worker = self._uncharged_worker
         with self._charged(timeout):
             await self._order(
                 lambda: worker.take_hold(token, seen, deadline), timeout
@@ -172,7 +172,7 @@
 
     @contextmanager
     def _charged(self, timeout: float) -> Iterator[None]:
-        self._free_worker.charging.charge(CALL_COST)
+        self._uncharged_worker.charging.charge(CALL_COST)
         try:
             with trio.fail_after(timeout):
                 yield
@@ -182,38 +182,38 @@
     async def _order(
         self, carry_out: Callable[[], None], timeout: float
     ) -> None:
-        def carry_out_free() -> None:
-            with self._free_worker.charging.free():
+        def carry_out_uncharged() -> None:
+            with self._uncharged_worker.charging.free():
                 carry_out()
 
-        await super()._order(carry_out_free, timeout)
+        await super()._order(carry_out_uncharged, timeout)
 
 
 class _ChargedAccess(HallAccess):
-    """Access whose calls are charged."""
+    """Access to workers over links that charge each call."""
 
     def link(self, life: WorkerLife) -> TaskWorkerLink:
         worker = self._hall.workers.get(life.id)
-        if not isinstance(worker, FreeWorker):
+        if not isinstance(worker, UnchargedWorker):
             return super().link(life)
         return ChargedLink(worker, self._cut)
 
 
 class LargeHall(WorkerHall):
-    """Workers as many as a grown deployment has."""
+    """Workers of a large cell, with calls charged to the clock."""
 
     def access(self, vm: str) -> HallAccess:
-        """Returns a VM's access."""
+        """Returns the access of a VM."""
         return _ChargedAccess(self, self.cut.setdefault(vm, set()))
 
 
 def make_large_hall(
     clock: ChargingClock, workers: int, plan: Callable[[TaskName], TaskPlan]
 ) -> LargeHall:
-    """Returns workers of 32 cores each."""
+    """Returns stand-in workers of 32 cores each."""
     hall = LargeHall()
     for number in range(workers):
-        rack = f"r{number // _RACK}"
+        rack = f"r{number // _WORKERS_PER_RACK}"
         listed = WorkerLife(
             f"w{number}",
             f"m{number}",
@@ -226,13 +226,13 @@
             0.0,
             born=1,
         )
-        worker = FreeWorker(clock, listed, plan, hall.journal, number)
+        worker = UnchargedWorker(clock, listed, plan, hall.journal, number)
         hall.add(worker)
     return hall
 
 
 def plan_of(name: TaskName) -> TaskPlan:
-    """Returns the plan of a task; its job's name says of what kind it is."""
+    """Returns the plan of a task, chosen by the prefix of its job's name."""
     if name.job.startswith("crash") and not name.position:
         return TaskPlan(1.0, QUICK, crashes_after=0.01)
     if name.job.startswith("last"):
@@ -243,10 +243,10 @@
     return TaskPlan(seconds, QUICK)
 
 
-def _time_of_loop() -> float:
+def _measure_loop() -> float:
     began = time.thread_time()
     counts: dict[int, tuple[int, int]] = {}
-    for number in range(_LOOPS):
+    for number in range(_LOOP_ITERATIONS):
         key = number % 97
         counts[key] = (counts.get(key, (0, 0))[0] + 1, number)
     return time.thread_time() - began
@@ -255,23 +255,23 @@
 def run_on_slow_vm(
     factor: float, function: Callable[[ChargingClock], Awaitable[None]]
 ) -> None:
-    """Runs a test on a VM of given slowness, whatever machine this is.
+    """Runs a test as on a slow VM, independently of this machine's speed.
 
-    Cycles are looked for as in an entry VM's process, and as in one that has
-    just started: not in what the tests before left.
+    The garbage collector is set up as in an entry VM's process that has just
+    started, so that it doesn't examine objects of earlier tests.
 
     Args:
-        factor: By how much the VM is slower than the machine of reference.
+        factor: How many times slower the VM is than the reference machine.
         function: The test; it takes the clock.
     """
-    took = min(_time_of_loop() for _ in range(5))
-    clock = ChargingClock(factor * _LOOP_REFERENCE / took)
-    with _collecting_as_the_process():
+    took = min(_measure_loop() for _ in range(5))
+    clock = ChargingClock(factor * _REFERENCE_LOOP_SECONDS / took)
+    with _process_gc_settings():
         trio.run(function, clock, clock=clock)
 
 
 @contextmanager
-def _collecting_as_the_process() -> Iterator[None]:
+def _process_gc_settings() -> Iterator[None]:
     thresholds = gc.get_threshold()
     gc.collect()
     process.prepare()
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Jobs that surely can't be of use are refused at once, and no others."""
+"""Tests that only jobs that would certainly end too late are refused."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -42,24 +42,24 @@
     running,
 )
 
-# In time within 9 s, of use within 27 s.
+# In time within 9 s, useful within 27 s.
 _LOAD = Load(0.0, 100.0, 120.0, 4.0, 9.0)
 _LATER = QUEUE._replace(name="later", prefix="/later/", priority=1)
 _ENDLESS = QUEUE._replace(
     name="endless", prefix="/endless/", priority=1, slack=0.0, target_latency=0
 )
-_TWO = CONFIG._replace(queues=(QUEUE, _LATER, _ENDLESS))
+_CONFIG = CONFIG._replace(queues=(QUEUE, _LATER, _ENDLESS))
 
 
 def test_only_what_is_far_beyond_use_is_refused() -> None:
-    bearable = (REFUSAL_FACTOR * _LOAD.use - _LOAD.own) * _LOAD.room
+    max_ahead = (REFUSAL_FACTOR * _LOAD.use - _LOAD.own) * _LOAD.room
     assert not is_too_late(_LOAD)
-    assert not is_too_late(_LOAD._replace(ahead=bearable - 1))
-    assert is_too_late(_LOAD._replace(ahead=bearable + 1))
-    # Nothing is known of room that isn't there.
-    assert not is_too_late(_LOAD._replace(ahead=bearable + 1, room=0.0))
-    # It would be late with nothing ahead, whenever its caller came back.
-    assert not is_too_late(_LOAD._replace(ahead=bearable + 1, chain=30.0))
+    assert not is_too_late(_LOAD._replace(ahead=max_ahead - 1))
+    assert is_too_late(_LOAD._replace(ahead=max_ahead + 1))
+    # Without any capacity there is no estimate.
+    assert not is_too_late(_LOAD._replace(ahead=max_ahead + 1, room=0.0))
+    # The job is late even with no work ahead: a retry wouldn't help.
+    assert not is_too_late(_LOAD._replace(ahead=max_ahead + 1, chain=30.0))
 
 
 def test_callers_come_back_once_there_is_room_and_not_all_at_once() -> None:
@@ -87,9 +87,11 @@
 
 
 @asynccontextmanager
-async def _busy(store: StoreStandin, hall: WorkerHall) -> AsyncIterator[Owner]:
-    """Runs an owner that has done some work and has minutes of it ahead."""
-    async with running(make_owner(store, hall, 1, config=_TWO)) as owner:
+async def _overloaded_owner(
+    store: StoreStandin, hall: WorkerHall
+) -> AsyncIterator[Owner]:
+    """Runs an owner with completed work and a backlog of minutes."""
+    async with running(make_owner(store, hall, 1, config=_CONFIG)) as owner:
         for number in range(10):
             await owner.job_api.submit(f"done{number}", QUEUE, chain(8, 1))
         await trio.sleep(8)
@@ -105,7 +107,7 @@
 
 async def test_a_job_behind_minutes_of_work_is_refused_at_once() -> None:
     store, hall = StoreStandin(), make_hall(2)
-    async with _busy(store, hall) as owner:
+    async with _overloaded_owner(store, hall) as owner:
         refused = meters.total('jobs_refused_total{queue="later"}')
         began = trio.current_time()
         reply = await _submit(owner, "late", chain(2, 1))
@@ -114,15 +116,15 @@
         assert MIN_RETRY_SECONDS <= reply.retry_after <= MAX_RETRY_SECONDS
         counted = meters.total('jobs_refused_total{queue="later"}')
         assert counted == refused + 1
-        # Nothing of it was kept.
+        # No state of the refused job is kept.
         assert owner.job_api.state("late").outcome is Outcome.NO_SUCH_JOB
         assert not owner.job_api.knows("late")
-        # What goes first is taken, and what is known is never refused.
+        # A job of higher priority is accepted; a known job is never refused.
         first = await owner.job_api.submit("urgent", QUEUE, chain(2, 1))
         assert owner.job_api.knows("first0")
         again = await owner.job_api.submit("first0", _LATER, chain(60, 1))
         assert first.outcome is again.outcome is Outcome.OK
-        # Neither is what is worth as much later, or due later.
+        # Neither is a job without an objective, or one that is due later.
         endless = await owner.job_api.submit("endless", _ENDLESS, chain(1, 1))
         timed = chain(1, 1)._replace(repeats=1, first_due=9e9, interval=1.0)
         due = await _submit(owner, "due", timed)
@@ -131,10 +133,10 @@
 
 async def test_a_new_owner_refuses_nobody_at_first() -> None:
     store, hall = StoreStandin(), make_hall(2)
-    async with _busy(store, hall) as owner:
+    async with _overloaded_owner(store, hall) as owner:
         assert (await _submit(owner, "a", chain(2, 1))).retry_after
     async with running(
-        make_owner(store, hall, 2, vm="b", config=_TWO)
+        make_owner(store, hall, 2, vm="b", config=_CONFIG)
     ) as owner:
         for tick in range(30):
             reply = await _submit(owner, f"b{tick}", chain(2, 1))
@@ -144,15 +146,15 @@
 
 async def test_without_a_backlog_nothing_is_refused() -> None:
     store, hall = StoreStandin(), make_hall(4)
-    async with running(make_owner(store, hall, 1, config=_TWO)) as owner:
+    async with running(make_owner(store, hall, 1, config=_CONFIG)) as owner:
         for number in range(60):
             reply = await _submit(owner, f"j{number}", chain(8, 1))
             assert reply.outcome is Outcome.OK
             await trio.sleep(0.2)
 
 
-class _Full:
-    """An owner without room; see `OwnerAccess`."""
+class _FullOwner:
+    """An owner without capacity; see `OwnerAccess`."""
 
     async def ask_owner(
         self, message: GatewayMessage, timeout: float
@@ -169,7 +171,7 @@
 
 
 async def test_the_caller_is_told_429_and_when_to_come_back() -> None:
-    job_api = CallerDesk(FixedConfig(CONFIG), _Full())
+    job_api = CallerDesk(FixedConfig(CONFIG), _FullOwner())
     place = await job_api.find("host", "/plans/j1")
     assert not isinstance(place, Answer)
     answer = await job_api.submit(place, chain(1, 1), 3.0)
@@ -183,7 +185,7 @@
 
 
 def test_former_versions_read_answers_without_room_or_with() -> None:
-    # Their form of an answer has two fields, and they send no other.
+    # Answers of former versions have exactly two fields.
     taken = JobAnswer(Outcome.OK, JobState.QUEUED)
     assert GATEWAY_MESSAGES.pack(taken) == ["job+", "ok", "queued"]
     assert GATEWAY_MESSAGES.unpack(["job+", "ok", "queued"]) == taken
--- a/tests/test_collecting.py
+++ b/tests/test_collecting.py
@@ -1,10 +1,10 @@
-"""An entry VM's process looks for cycles seldom, and an owner in little.
+"""Tests that garbage collection costs an entry VM's process little.
 
-An owner of 246 workers and some hundred jobs takes in so many runs that Python,
-by its own settings, looked for cycles thirty times a second, and once in four
-seconds through all that it holds: 0.23 of the 1.95 ms that a run cost it, and
-0.1 s at once in which nothing else was done. With all jobs that a large cell
-remembers, a full collection stopped it for longer than peers wait.
+With Python's default thresholds an owner of 246 workers and some hundred jobs
+collected thirty times a second, and ran a full collection every four seconds.
+That took 0.23 of the 1.95 ms that a run costs, and paused the process for
+0.1 s at once. With all ended jobs of a large cell, a full collection paused it
+for longer than the peers' heartbeat timeout.
 """
 
 from collections.abc import Iterator
@@ -19,7 +19,7 @@
 
 from pimentocross.contracts.store import Record
 from pimentocross.owner import wall
-from pimentocross.owner.collector import survivors_left_out
+from pimentocross.owner.collector import freeze_survivors
 from pimentocross.owner.jobs import JobRegistry
 from pimentocross.owner.ledger import Ledger
 from pimentocross.platform import __main__ as process
@@ -29,15 +29,15 @@
 from tests.owner_fixtures import QUEUE, chain, make_hall, make_owner, running
 from tests.platform_fixtures import write_settings
 
-_MADE = 100_000
+_OBJECTS = 100_000
 _JOBS = 300
-# Objects that an owner of little and its stand-ins are made of; the jobs are
-# many times as many.
-_LOOKED_THROUGH_MOST = 4_000
+# Upper limit for the objects of an owner with few jobs and its stand-ins; the
+# test's jobs have many times as many.
+_MAX_EXAMINED_OBJECTS = 4_000
 
 
 @contextmanager
-def _settings_kept() -> Iterator[None]:
+def _restored_thresholds() -> Iterator[None]:
     thresholds = gc.get_threshold()
     try:
         yield
@@ -55,11 +55,11 @@
     def run(*_: object) -> None:
         gc.collect()
         before = _collections()
-        kept = [[number] for number in range(_MADE)]
+        kept = [[number] for number in range(_OBJECTS)]
         seen.append(_collections() - before)
-        assert len(kept) == _MADE
+        assert len(kept) == _OBJECTS
 
-    with tempfile.TemporaryDirectory() as folder, _settings_kept():
+    with tempfile.TemporaryDirectory() as folder, _restored_thresholds():
         path = Path(folder) / "settings"
         write_settings(path, "a", "127.0.0.1:1")
         with (
@@ -73,22 +73,22 @@
 
 
 def test_full_collections_look_through_little_however_much_there_is() -> None:
-    looked_through: list[int] = []
+    examined: list[int] = []
 
     def note(phase: str, info: dict[str, int]) -> None:
         if phase == "start" and info["generation"] == 2:
-            looked_through.append(len(gc.get_objects()))
+            examined.append(len(gc.get_objects()))
 
     gc.collect()
-    with _settings_kept(), survivors_left_out():
+    with _restored_thresholds(), freeze_survivors():
         process.prepare()
         gc.freeze()
         gc.callbacks.append(note)
-        kept = [[number] for number in range(10 * _MADE)]
+        kept = [[number] for number in range(10 * _OBJECTS)]
         gc.callbacks.remove(note)
-    assert len(kept) == 10 * _MADE
-    assert len(looked_through) > 1
-    assert max(looked_through) < 1.5 * _MADE, looked_through
+    assert len(kept) == 10 * _OBJECTS
+    assert len(examined) > 1
+    assert max(examined) < 1.5 * _OBJECTS, examined
 
 
 def _submissions() -> list[Record]:
@@ -112,16 +112,20 @@
     owner = make_owner(store, make_hall(), 1)
     gc.collect()
     async with running(owner):
-        taken_over = len(gc.get_objects())
+        examined_after_take_over = len(gc.get_objects())
         for number in range(_JOBS):
             job = f"new{number}"
             await owner.job_api.submit(job, QUEUE, chain())
             await owner.job_api.cancel(job)
-        # The first looks through these jobs, and no later one does.
+        # Only the first collection examines these jobs, no later one.
         gc.collect()
-        grown = len(gc.get_objects())
-    assert taken_over < _LOOKED_THROUGH_MOST, taken_over
-    assert grown < _LOOKED_THROUGH_MOST, grown
+        examined_after_new_jobs = len(gc.get_objects())
+    assert examined_after_take_over < _MAX_EXAMINED_OBJECTS, (
+        examined_after_take_over
+    )
+    assert examined_after_new_jobs < _MAX_EXAMINED_OBJECTS, (
+        examined_after_new_jobs
+    )
 
 
 async def test_what_an_owner_left_is_collected_under_the_next() -> None:
@@ -129,17 +133,17 @@
     async with running(make_owner(StoreStandin(), make_hall(), 1)) as owner:
         await owner.job_api.submit("j", QUEUE, chain())
         kept = [o for o in gc.get_objects() if isinstance(o, Job)]
-        left = [weakref.ref(job) for job in kept if job.id == "j"]
+        jobs_left = [weakref.ref(job) for job in kept if job.id == "j"]
         del kept
         gc.collect()
-    # No collection comes between the two.
+    # No collection runs between the two owners.
     gc.disable()
     try:
         owner = make_owner(StoreStandin(), make_hall(), 1)
         async with running(owner):
-            assert [job for job in left if job() is not None]
+            assert [job for job in jobs_left if job() is not None]
             gc.collect()
-            assert not [job for job in left if job() is not None]
+            assert not [job for job in jobs_left if job() is not None]
     finally:
         if was_enabled:
             gc.enable()
--- a/tests/test_job_progress.py
+++ b/tests/test_job_progress.py
@@ -1,4 +1,4 @@
-"""What a job counts as its tasks change is what a look at all would give."""
+"""Tests a job's incremental counts against a recount of all its tasks."""
 
 import random
 
@@ -53,13 +53,13 @@
 
 
 def _change(draw: random.Random, task: Task) -> None:
-    """Changes a task in one of the ways that owners do."""
+    """Changes a task in one of the ways in which owners change tasks."""
     number = task.last_run + 1
     chance = draw.random()
     if chance < 0.4:
         task.add_run(Run(number, 7))
     elif chance < 0.5 and task.runs:
-        # A run that is known is listed anew.
+        # A known run is listed again.
         task.add_run(Run(max(task.runs), 8))
     elif chance < 0.6:
         task.checkpoint = f"saved {number}"
@@ -78,7 +78,7 @@
 
 
 def _expected_state(job: Job) -> JobState:
-    """Returns where a job stands, by a look at all its tasks."""
+    """Returns the state of a job, computed from all its tasks."""
     for step in _steps(job):
         failures = [t.failures for t in step.tasks if not t.done]
         most = sum(failures) if step.spec.gang else max(failures, default=0)
@@ -107,7 +107,7 @@
 
 
 def _check_record(job: Job) -> None:
-    """Checks a job's record against its tasks, and that it can be read."""
+    """Checks that a job's record restores the state of its tasks."""
     value = records.encode_progress(job)
     again = Job("j", QUEUE, job.spec, 0.0)
     records.decode_progress(again, value)
--- a/tests/test_large_cell.py
+++ b/tests/test_large_cell.py
@@ -1,20 +1,19 @@
-"""A cell as large as a grown deployment's, on VMs whose time counts.
+"""Tests that the owner of a large cell keeps its leases on a small VM.
 
-On a day with 246 workers tasks that are to last were away for 10 to 30 s with
-room for them, under an owner that lived. Its VM was at all the processor time
-that it has, 2.15 cores, from second 8 on:
+With 246 workers, long-running tasks were interrupted for 10 to 30 s although
+there was capacity and the owner was alive. Its VM used all its 2.15 cores from
+second 8 on:
 
     second,machine,cpu_percent      16,edge-dune-hall-2,214
     worker_silent 121 at 14 s, 192 at 39 s, 269 at 64 s (of 246 workers)
     -2.618 s to 67.375 s   ... run 2 on i-3872b84a88: lapsed
     71.482 s to 77.792 s   ... run 3 on i-a68fe3a142: lapsed
 
-Each task that was placed had all workers looked at, so that a pass of decisions
-cost what waits times the workers, 0.07 s on average and up to 0.7 s of a core;
-each listing asked for another pass, and nothing bounded what passes take of the
-one thread. Listings were then given up as too late by the owner that had come
-late to read them, and a worker that is taken for silent has its lease left to
-lapse.
+Placing a task examined all workers, so that a scheduling pass cost the waiting
+tasks times the workers: 0.07 s on average and up to 0.7 s of a core. Each
+listing triggered another pass, and nothing limited the share of the only thread
+that passes take. The owner then read listings only after their timeout, took
+the workers for silent and let their leases lapse.
 """
 
 from collections import Counter
@@ -36,11 +35,11 @@
 _WORKERS = 246
 _LASTING_JOBS = 80
 _SECONDS = 12.0
-# Jobs a second that a day of that size brings.
-_FILLING_RATE = 9.5
+# Jobs a second at the load of a deployment of that size.
+_BEST_EFFORT_RATE = 9.5
 _QUICK_RATE = 5.8
-# Peers take an owner for silent after a second.
-_LATE_MOST = 0.8
+# Seconds; peers take an owner for silent after one second.
+_MAX_LATENESS = 0.8
 
 
 def test_a_large_cell_keeps_its_leases_on_a_small_vm() -> None:
@@ -48,7 +47,7 @@
 
 
 def test_a_large_cell_bears_that_many_workers_leave_at_once() -> None:
-    # Each time that ten workers left, over a hundred calls went unanswered.
+    # Each time ten workers left at once, over a hundred calls timed out.
     async def play(clock: ChargingClock) -> None:
         await _keep_leases(clock, leaving=10)
 
@@ -63,13 +62,13 @@
             job = f"last{number}"
             await owner.job_api.submit(job, QUEUE, lasting_job(number))
         await trio.sleep(3.0)
-        nursery.start_soon(_note_lateness, late)
-        nursery.start_soon(_have_leave, hall, leaving)
-        await _bring_jobs(owner)
+        nursery.start_soon(_record_lateness, late)
+        nursery.start_soon(_drain_workers, hall, leaving)
+        await _submit_jobs(owner)
         nursery.cancel_scope.cancel()
     ended = Counter(event.what for event in hall.journal)
     assert not ended["lapsed"], ended
-    assert max(late) < _LATE_MOST, sorted(late)[-9:]
+    assert max(late) < _MAX_LATENESS, sorted(late)[-9:]
     assert ended["done"] > 1_000, ended
 
 
@@ -80,28 +79,28 @@
     return Owner(Claim("jobs", 1, True), platform, lambda: CONFIG)
 
 
-async def _have_leave(hall: LargeHall, leaving: int) -> None:
-    """Has some workers tell that they leave, in the midst of the load."""
+async def _drain_workers(hall: LargeHall, leaving: int) -> None:
+    """Makes some workers report that they are draining, under load."""
     await trio.sleep(_SECONDS / 3)
     for worker in list(hall.workers.values())[:leaving]:
         life = worker.life
         worker.life = life._replace(draining=True, remaining=_SECONDS)
 
 
-async def _note_lateness(late: list[float]) -> None:
-    """Notes how late a timer of 0.05 s fires, for ever."""
+async def _record_lateness(late: list[float]) -> None:
+    """Records how late a timer of 0.05 s fires, until cancelled."""
     while True:
         began = trio.current_time()
         await trio.sleep(0.05)
         late.append(trio.current_time() - began - 0.05)
 
 
-async def _bring_jobs(owner: Owner) -> None:
-    """Submits jobs that fill and short ones at their rates."""
+async def _submit_jobs(owner: Owner) -> None:
+    """Submits best-effort and short jobs at their rates."""
     began = trio.current_time()
     filling = quick = 0
     while (passed := trio.current_time() - began) < _SECONDS:
-        while filling < passed * _FILLING_RATE:
+        while filling < passed * _BEST_EFFORT_RATE:
             job = f"fill{filling}"
             await owner.job_api.submit(job, QUEUE, filling_job(filling))
             filling += 1
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,8 +1,8 @@
-"""The owner's records while the store doesn't answer.
+"""Tests that the owner's records are stored soon after a store outage.
 
-An append that the store never got was waited for, for 1.5 s, after the store
-was back: nothing was taken in or started meanwhile. It has the same cause as
-the late configuration in `test_config_current`.
+The ledger waited for the timeout of 1.5 s of an append that the store never
+got, also after the store was back, and the owner accepted and started nothing
+meanwhile. `test_config_current` guards against the same cause.
 
     52.493  log-append, no answer        (the store is back at 54.0)
     54.094  log-append: 200
@@ -13,8 +13,8 @@
 from pimentocross.owner.ledger import LazyRecord, Ledger
 from pimentocross.standins.store import StoreStandin
 
-# Callers of short jobs want them started within this, in seconds.
-_START_WITHIN = 1.0
+# Seconds within which callers of short jobs expect them to start.
+_MAX_RECORD_SECONDS = 1.0
 
 
 def _record(key: str) -> LazyRecord:
@@ -22,7 +22,7 @@
 
 
 async def test_records_are_stored_in_time_after_an_outage() -> None:
-    """Whatever the moment of the return in the course of an append."""
+    """The outage ends at different points of an append's timeout."""
     for step in range(40):
         store = StoreStandin()
         ledger = Ledger(store.client("vm"), "jobs", "owner", 1)
@@ -35,14 +35,14 @@
             store.faults.away = False
             began = trio.current_time()
             await ledger.put(_record("b")).stored.wait()
-            assert trio.current_time() - began < _START_WITHIN
+            assert trio.current_time() - began < _MAX_RECORD_SECONDS
             nursery.cancel_scope.cancel()
         keys = [r.key for r in store.topic("jobs").records if r.value]
         assert keys == ["a", "b"]
 
 
 async def test_an_append_that_is_asked_again_is_done_once() -> None:
-    """Also if answers are slow, lost, or what was asked is done later."""
+    """Answers are slow or lost, and some appends are applied late."""
     for seed in range(20):
         store = StoreStandin(seed)
         ledger = Ledger(store.client("vm"), "jobs", "owner", 1)
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -1,4 +1,4 @@
-"""The owner of a cell: jobs run to their end, once, whatever fails."""
+"""Tests that an owner runs each job to its end, once, despite failures."""
 
 from collections import Counter
 from unittest import mock
@@ -108,11 +108,11 @@
         assert reply.outcome is Outcome.STORE_AWAY
         assert trio.current_time() - asked_at < 0.1
         await trio.sleep(6)
-        # Ends are not shown before they are recorded.
+        # A final state is not shown before it is stored.
         assert owner.job_api.state("j1").state is JobState.RUNNING
         store.faults.away = False
         await wait_until(lambda: _ended(owner, "j1"))
-        # As entry VMs ask: one of them may have stored it meanwhile.
+        # Entry VMs call this first: one of them may have stored the job.
         assert await owner.ensure_known("j2")
         assert owner.job_api.state("j2").outcome is Outcome.NO_SUCH_JOB
     assert count(hall.journal, "lapsed") == 0
@@ -120,8 +120,8 @@
 
 
 async def test_a_job_caught_by_an_outage_is_told_so_in_time() -> None:
-    # It was held for 2.7 of the 3 s that its caller waits; told at once, the
-    # caller used up its tries before the store was back.
+    # A reply after 2.7 of the 3 s that callers wait was too late; an immediate
+    # one made callers use up their retries before the store was back.
     store, hall = StoreStandin(), make_hall()
     async with running(make_owner(store, hall, 1)) as owner:
         store.faults.away = True
@@ -145,8 +145,8 @@
 
 
 async def test_a_store_that_turns_the_owner_away_is_known_at_once() -> None:
-    # On a played day 38 callers were left unsure in a store's outage, most of
-    # them by jobs that were taken in after it had begun.
+    # In a simulated day 38 callers got no definite reply in a store outage,
+    # most of them for jobs that were accepted after the outage had begun.
     store, hall = StoreStandin(), make_hall()
     async with running(make_owner(store, hall, 1)) as owner:
         store.faults.refused.add("a")
@@ -215,7 +215,7 @@
         on_it = sum(e.worker == victim for e in hall.journal)
         await wait_until(lambda: count(hall.journal, "start") == 4 + on_it)
         assert trio.current_time() - cut_at > const.LEASE - const.HOLD_WAIT
-        # The worker itself says so only when it is asked.
+        # The stand-in logs lapsed runs only when it is asked for a listing.
         hall.workers[victim].listing()
     events = sorted(hall.journal, key=lambda e: (e.at, e.what == "start"))
     lapsed = [e for e in events if e.what == "lapsed"]
@@ -230,7 +230,7 @@
 
 
 def test_orders_to_many_workers_leave_descriptors_of_a_small_vm() -> None:
-    """Five connections to each of 1,500 workers were more than it had."""
+    """Five connections to each of 1,500 workers exceeded the limit."""
     small = make_terms(6.0, 120.0, 4_100)
     for workers in (48, 176, 350, 750, 1_500, 2_000):
         most = small.orders_at_once(workers)
@@ -288,7 +288,7 @@
         await wait_until(lambda: count(hall.journal, "stopped") == 4)
         assert trio.current_time() - cancelled_at < 0.5
         await trio.sleep(3)
-        # The same submission, arriving late, does not revive it.
+        # A late repeat of the submission does not restart the job.
         await owner.job_api.submit("j1", QUEUE, chain(4, 1))
         await trio.sleep(2)
         assert owner.job_api.state("j1").state is JobState.CANCELLED
@@ -296,7 +296,8 @@
 
 
 async def test_an_owner_that_gives_its_cell_back_decides_nothing_more() -> None:
-    # It went on for 1.9 s on a weak VM, until a successor claimed.
+    # On a slow VM a released owner went on deciding for 1.9 s, until a
+    # successor claimed the cell.
     store, hall = StoreStandin(), make_hall(2)
     async with running(make_owner(store, hall, 1)) as owner:
         store.faults.delay = 0.4
@@ -310,13 +311,14 @@
 
 
 async def test_no_end_heard_as_the_cell_is_given_back_is_forgotten() -> None:
-    # LOST: the worker then left, and its task's lease was waited for.
+    # An ending received after the release was not stored. Its worker then left,
+    # and the successor waited for the lease of the task.
     store, hall = StoreStandin(), make_hall(2, plan=lambda _: _FAILS_SOON)
     async with running(make_owner(store, hall, 1)) as owner:
         await owner.job_api.submit("j1", QUEUE, chain(1, 1))
         await wait_until(lambda: count(hall.journal, "start") == 1)
         store.faults.delay = 0.4
-        # Its end comes while the last records are on their way.
+        # The task ends while the last records are being stored.
         await trio.sleep(0.6)
         owner.release()
         await wait_until(lambda: count(hall.journal, "failed") == 1)
@@ -354,7 +356,7 @@
         await lower.open()
     except FencedError:
         return
-    raise AssertionError("a lower epoch was let in")
+    raise AssertionError("a lower epoch was not fenced")
 
 
 async def test_records_of_another_form_are_left_alone() -> None:
@@ -383,9 +385,9 @@
 
 
 async def test_a_failure_that_was_recorded_is_not_counted_again() -> None:
-    # Seen on a played day: each successor was listed endings that its
-    # predecessors had recorded and not taken note of, and a job of one failure
-    # was shown as failed.
+    # Workers list an ending until an owner acknowledges it. If owners record a
+    # failure but end before they acknowledge it, each successor must not count
+    # it again: a job with one failure was reported as failed.
     store = StoreStandin()
     begun: Counter[TaskName] = Counter()
 
--- a/tests/test_owner_lateness.py
+++ b/tests/test_owner_lateness.py
@@ -1,11 +1,9 @@
-"""The owner's own lateness is no worker's silence.
-
-On a day with 246 workers the owner's thread was busy for most of each second.
-It came late to read answers that were there, gave the calls up, noted 121
-workers as silent within six seconds, and a worker that is taken for silent has
-its lease left to lapse: tasks were lost under a living owner, of workers that
-had answered all along. Here something keeps the thread busy at regular times,
-whatever decisions cost.
+"""Tests that an owner doesn't take its own lateness for silent workers.
+
+With 246 workers the owner's thread was busy for most of each second. It read
+answers only after their timeout, marked 121 workers as silent within six
+seconds and let their leases lapse, so that tasks of responding workers were
+lost. The tests block the thread at regular intervals.
 """
 
 from collections import Counter
@@ -46,35 +44,36 @@
 
 
 class _Stalls(NamedTuple):
-    """Seconds for which the thread is busy at most, and for which it isn't."""
+    """Longest busy period of the thread and the pause after it, seconds."""
 
     busy: float
     free: float
 
 
-# As passes of decisions followed each other, and as something large comes now
-# and then.
+# Three patterns of scheduling passes in close succession, and one of a long
+# operation from time to time.
 _STALLS = (
     _Stalls(0.3, 0.01),
     _Stalls(0.6, 0.01),
     _Stalls(0.9, 0.01),
     _Stalls(1.6, 3.7),
 )
-# From the cut on: a lease may be asked for once more while it isn't clear who
-# was late, within three seconds of the last listing.
-_LAPSE_MOST = const.LEASE + 4.0
-# A decision, its record and a start, each of which waits for the thread.
-_START_MOST = 6.0
+# Counted from the cut. While it is unclear whether the owner or the worker is
+# late, the owner may renew a lease once more, within three seconds of the last
+# listing.
+_MAX_LAPSE_SECONDS = const.LEASE + 4.0
+# A decision, its record and a start order each wait for the thread.
+_MAX_START_SECONDS = 6.0
 
 
 def test_a_late_owner_takes_no_worker_for_silent() -> None:
     for stalls in _STALLS:
-        run_on_slow_vm(1.0, _playing(stalls, _keep_leases))
+        run_on_slow_vm(1.0, _with_stalls(stalls, _keep_leases))
 
 
 def test_a_worker_that_is_cut_off_lapses_under_a_late_owner() -> None:
     for stalls in _STALLS:
-        run_on_slow_vm(1.0, _playing(stalls, _lose_one))
+        run_on_slow_vm(1.0, _with_stalls(stalls, _lose_one))
 
 
 def test_lateness_is_read_and_noted_once_a_second() -> None:
@@ -91,7 +90,7 @@
         await trio.sleep(1.0)
         assert lateness.recent < 0.1
         clock.charge(0.5 / clock.factor)
-        # Known at once, also before the timer's own turn has come.
+        # The lateness shows at once, even before the timer has run.
         assert 0.4 < lateness.recent < 0.7
         log.take(lateness.recent)
         for _ in range(2):
@@ -103,7 +102,7 @@
         assert lateness.recent < 0.1
         assert 0.4 < lateness.since(began) < 0.7
         nursery.cancel_scope.cancel()
-    # All within a second.
+    # All of this was within one second.
     assert decisions.counts()["late"] - noted == 1
 
 
@@ -123,10 +122,10 @@
     victim = hall.journal[0].worker
     on_it = len({e.task for e in hall.journal if e.worker == victim})
     hall.cut["a"].add(victim)
-    with trio.fail_after(_LAPSE_MOST):
+    with trio.fail_after(_MAX_LAPSE_SECONDS):
         while decisions.counts()["runs_lost"] == lost:
             await trio.sleep(0.05)
-    with trio.fail_after(_START_MOST):
+    with trio.fail_after(_MAX_START_SECONDS):
         while count(hall.journal, "start") < starts + on_it:
             await trio.sleep(0.05)
     _list_all(hall)
@@ -138,17 +137,17 @@
 
 
 def _list_all(hall: LargeHall) -> None:
-    """Has workers say what has lapsed: they do so only when asked."""
+    """Asks all workers for a listing, as only then they log lapsed runs."""
     for worker in hall.workers.values():
         worker.listing()
 
 
-def _playing(
-    stalls: _Stalls, play: Callable[[LargeHall], Awaitable[None]]
+def _with_stalls(
+    stalls: _Stalls, scenario: Callable[[LargeHall], Awaitable[None]]
 ) -> Callable[[ChargingClock], Awaitable[None]]:
     async def run(clock: ChargingClock) -> None:
         async with _stalled_cell(clock, stalls) as hall:
-            await play(hall)
+            await scenario(hall)
 
     return run
 
@@ -157,7 +156,7 @@
 async def _stalled_cell(
     clock: ChargingClock, stalls: _Stalls
 ) -> AsyncIterator[LargeHall]:
-    """Runs an owner of lasting tasks whose thread is busy again and again."""
+    """Runs an owner of long-running tasks and blocks its thread repeatedly."""
     hall = make_large_hall(clock, _WORKERS, plan_of)
     access = hall.access("a")
     platform = CellPlatform(StoreStandin().client("a"), access, access)
--- a/tests/test_takeover_cost.py
+++ b/tests/test_takeover_cost.py
@@ -1,8 +1,9 @@
-"""A new owner of a large cell keeps answering while it takes over.
+"""Tests that a new owner of a large cell stays responsive in the take-over.
 
-After all entry VMs had restarted, each new owner read the state of a cell of
-246 workers in one go, neither answered heartbeats nor wrote meanwhile, and was
-replaced as silent within 2 s by one that began from nothing.
+After all entry VMs had restarted, each new owner loaded the state of a cell of
+246 workers without yielding. It neither answered heartbeats nor wrote to the
+store meanwhile, and was replaced as silent within 2 s by an owner that had to
+start over.
 """
 
 import gc
@@ -29,12 +30,13 @@
 )
 
 _WORKERS: Final = 246
-# What 150 s of 30 jobs a second leave in the store.
+# Ended jobs in the store after 150 s at 30 jobs a second.
 _ENDED_JOBS: Final = 4_400
-# Peers take an owner for silent after a second without an answer.
-_LATE_MOST: Final = 0.3
-# Of workers that are called first within a turn: keepers run in any order.
-_CALLED_AT_ONCE_MOST: Final = 3
+# Seconds; peers take an owner for silent after one second without an answer.
+_MAX_LATENESS: Final = 0.3
+# Limit for workers first called in one iteration of the event loop: their tasks
+# run in any order.
+_MAX_CALLS_PER_TURN: Final = 3
 
 
 def test_a_new_owner_answers_and_writes_while_it_reads_the_state() -> None:
@@ -42,7 +44,8 @@
 
 
 def test_a_new_owner_calls_its_workers_one_after_the_other() -> None:
-    # What is begun within a slice of time runs in one turn of the loop.
+    # All calls that are started within one time slice run in the same iteration
+    # of the event loop.
     run_on_slow_vm(1.0, _call_all)
 
 
@@ -85,7 +88,7 @@
                 before = len(called)
                 await trio.lowlevel.checkpoint()
                 most = max(most, len(called) - before)
-    assert most <= _CALLED_AT_ONCE_MOST, most
+    assert most <= _MAX_CALLS_PER_TURN, most
 
 
 async def _collect(clock: ChargingClock) -> None:
@@ -94,7 +97,7 @@
         began = trio.current_time()
         gc.collect()
         took = trio.current_time() - began
-    assert took < _LATE_MOST, took
+    assert took < _MAX_LATENESS, took
 
 
 async def _take_over(clock: ChargingClock) -> None:
@@ -103,13 +106,13 @@
     late: list[float] = []
     began = trio.current_time()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_note_lateness, late)
+        nursery.start_soon(_record_lateness, late)
         async with running(owner):
             took = trio.current_time() - began
             written = len(store.topic("jobs").records) - kept
         nursery.cancel_scope.cancel()
     assert took > 1.0, "the state is too small to tell anything"
-    assert max(late) < _LATE_MOST, (took, sorted(late)[-5:])
+    assert max(late) < _MAX_LATENESS, (took, sorted(late)[-5:])
     assert written >= took, (took, written)
 
 
@@ -122,8 +125,8 @@
     ]
 
 
-async def _note_lateness(late: list[float]) -> None:
-    """Notes how late a timer of 0.05 s fires, for ever."""
+async def _record_lateness(late: list[float]) -> None:
+    """Records how late a timer of 0.05 s fires, until cancelled."""
     while True:
         began = trio.current_time()
         await trio.sleep(0.05)
