--- a/pimentocross/owner/learned.py
+++ b/pimentocross/owner/learned.py
@@ -32,7 +32,7 @@
 from pimentocross.work.state import Run, RunState, Step, Task
 
 # A worker is quarantined once tasks of two jobs fail in a row: ordinary tasks
-# fail one time in 20, so that failures of two different jobs follow each other by
+# fail one time in 20, so that two failures of different jobs in a row happen by
 # chance one time in 400.
 _QUARANTINE: Final = QuarantineSettings(after=2, first=3.0, most=12.0)
 # A task that serves alone on a sound worker stays under this multiple of its
