--- a/pimentocross/owner/job_api.py
+++ b/pimentocross/owner/job_api.py
@@ -133,7 +133,7 @@
         return self._registry.pending(queue)
 
     async def _is_stored(self, batch: Batch) -> bool:
-        """Waits for a batch; returns False if the store is unavailable."""
+        """Waits for a batch; returns False if the store is away for long."""
         asked_at = trio.current_time()
         while not batch.stored.is_set():
             waited = trio.current_time() - asked_at
--- a/tests/slow_vm.py
+++ b/tests/slow_vm.py
@@ -84,7 +84,7 @@
         self._skipped += seconds * self.factor
 
     @contextmanager
-    def free(self) -> Iterator[None]:
+    def uncharged(self) -> Iterator[None]:
         """Excludes the processor time of the block from the clock."""
         began = time.thread_time()
         self._uncharged_depth += 1
@@ -148,7 +148,7 @@
             born = worker.life.born
             until = trio.current_time() + wait
             while True:
-                with worker.charging.free():
+                with worker.charging.uncharged():
                     worker.check_connected(born)
                     reply = worker.listing()
                     pause = worker.next_change()
@@ -183,7 +183,7 @@
         self, carry_out: Callable[[], None], timeout: float
     ) -> None:
         def carry_out_uncharged() -> None:
-            with self._uncharged_worker.charging.free():
+            with self._uncharged_worker.charging.uncharged():
                 carry_out()
 
         await super()._order(carry_out_uncharged, timeout)
--- a/tests/test_large_restarts.py
+++ b/tests/test_large_restarts.py
@@ -55,7 +55,7 @@
         step = 0.05
         while True:
             await trio.sleep(step)
-            with self._clock.free():
+            with self._clock.uncharged():
                 self._look()
                 if self._random.random() < _RESTARTS_A_SECOND * step:
                     self._random.choice(self._workers).restart()
--- a/tests/test_takeover_cost.py
+++ b/tests/test_takeover_cost.py
@@ -55,7 +55,7 @@
 
 def _make(clock: ChargingClock, ended_jobs: int) -> tuple[StoreStandin, Owner]:
     store = StoreStandin()
-    with clock.free():
+    with clock.uncharged():
         hall = make_large_hall(clock, _WORKERS, plan_of)
         kept = [record for n in range(ended_jobs) for record in _ended_job(n)]
         store.append_now("jobs", kept, None, None)
