--- a/pimentocross/gateway/election.py
+++ b/pimentocross/gateway/election.py
@@ -273,7 +273,7 @@
     def _find_stronger_vm(self, owner: Owner) -> str:
         """Returns a stronger VM to hand the cell over to now, or ""."""
         now = trio.current_time()
-        if not owner.settled.is_set() or owner.ledger.away:
+        if not owner.settled.is_set() or owner.ledger.store_away:
             return ""
         if now - self._owned_since < const.MIN_OWNERSHIP_BEFORE_HAND_OVER:
             return ""
--- a/pimentocross/owner/context.py
+++ b/pimentocross/owner/context.py
@@ -7,7 +7,7 @@
 from pimentocross.owner.call_timeouts import CallTimeouts
 from pimentocross.owner.crashes import Crashes
 from pimentocross.owner.former_leases import FormerLeases
-from pimentocross.owner.jobs import JobBook
+from pimentocross.owner.jobs import JobRegistry
 from pimentocross.owner.late_starts import LateStarts
 from pimentocross.owner.ledger import Ledger
 from pimentocross.owner.listing_pace import ListingPace
@@ -74,7 +74,7 @@
     terms: OwnerTerms
     patience: CallTimeouts
     pace: ListingPace
-    book: JobBook
+    book: JobRegistry
     ledger: Ledger
     wake: Callable[[], None]
     on_ending: Callable[[Worker, Task, Run | None, Ending], None]
--- a/pimentocross/owner/crashes.py
+++ b/pimentocross/owner/crashes.py
@@ -9,7 +9,7 @@
 
 from pimentocross.contracts.worker_link import WorkerLife
 from pimentocross.observe.decisions import note
-from pimentocross.owner.jobs import JobBook
+from pimentocross.owner.jobs import JobRegistry
 from pimentocross.owner.life_numbers import KnownLife
 from pimentocross.owner.silent_lives import SilentLives
 from pimentocross.owner.worker import RunKey, Worker
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        book: JobBook,
+        book: JobRegistry,
         workers: Callable[[], Iterable[Worker]],
         silent_lives: SilentLives,
         ends: WorkerEnds,
@@ -207,7 +207,7 @@
         """Clears a task's crashes after a run that ended without a crash."""
         if run is not None and task.crash_history.crashes:
             task.crash_history = NO_CRASHES
-            self._book.note_crashes(task.step.job)
+            self._book.record_crashes(task.step.job)
 
     def note_listed_runs(self, worker: Worker) -> None:
         """Clears tasks whose runs have lived long enough, and ends isolation.
@@ -221,7 +221,7 @@
                 worker.lived(run), lasting=task.step.spec.lasting
             )
             if task.crash_history is not former:
-                self._book.note_crashes(task.step.job)
+                self._book.record_crashes(task.step.job)
             if not task.crash_history.crashes:
                 worker.suspects.discard((task, number))
         worker.end_isolation()
@@ -326,7 +326,7 @@
             )
             if task.crash_history is former:
                 continue
-            self._book.note_crashes(job)
+            self._book.record_crashes(job)
             note(
                 "task_crashed",
                 task=task.name,
--- a/pimentocross/owner/dispatcher.py
+++ b/pimentocross/owner/dispatcher.py
@@ -12,13 +12,13 @@
 from pimentocross.observe import meters
 from pimentocross.observe.decisions import note
 from pimentocross.owner import const, wall
-from pimentocross.owner.advice import AdviceDesk
+from pimentocross.owner.advice import TicketCache
 from pimentocross.owner.backlog import Backlog
 from pimentocross.owner.capacity_reserve import CapacityReserve, is_short
 from pimentocross.owner.copier import Copier
 from pimentocross.owner.isolation import Isolation
-from pimentocross.owner.jobs import JobBook
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.jobs import JobRegistry
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.owner.ledger import Batch
 from pimentocross.owner.load_log import LoadLog
 from pimentocross.owner.orders import Orders, Placement
@@ -73,9 +73,9 @@
 
     def __init__(
         self,
-        book: JobBook,
+        book: JobRegistry,
         roster: Roster,
-        learned: Learned,
+        learned: LearnedEstimates,
         config: Callable[[], WorkConfig],
         adviser: Adviser | None,
         switches: Switches = ALL_ON,
@@ -91,7 +91,7 @@
                 None if there is no adviser.
             switches: Parts that are switched off.
         """
-        self.advice = AdviceDesk(adviser, self.wake)
+        self.advice = TicketCache(adviser, self.wake)
         self.backlog = Backlog(
             learned.durations, puts_back=switches.is_on(Part.TRIAGE)
         )
@@ -145,7 +145,7 @@
         self, worker: Worker, task: Task, run: Run | None, ending: Ending
     ) -> None:
         """Updates the statistics from an ending that has been recorded."""
-        self._learned.judge(worker, task, run, ending)
+        self._learned.on_ending(worker, task, run, ending)
         self._copier.note_ended(task, run, ending)
 
     def forget_life(self, life: str) -> None:
@@ -175,9 +175,9 @@
     def _start_waiting(self, orders: Orders) -> None:
         """Places waiting tasks, most urgent first, and frees capacity."""
         now, wall_time = trio.current_time(), wall.now()
-        steps = self._book.open_steps(wall_time)
+        steps = self._book.ready_steps(wall_time)
         if not steps:
-            self.backlog.look((), (), 0.0, now)
+            self.backlog.refresh((), (), 0.0, now)
             return
         usable = self._roster.usable()
         healthy = self._healthy_workers(usable, now)
@@ -258,7 +258,7 @@
     ) -> list[_RankedStep]:
         """Returns the steps in the order in which they are tried."""
         ranks = [(self._rank(step, now, wall_time), step) for step in steps]
-        self.backlog.look(ranks, workers, self._reserve.share, now)
+        self.backlog.refresh(ranks, workers, self._reserve.share, now)
         return sorted(
             _RankedStep(self.backlog.order(rank, step), number, step)
             for number, (rank, step) in enumerate(ranks)
@@ -284,7 +284,7 @@
     def _log_load(self) -> None:
         now = trio.current_time()
         if self._load_log.is_due(now):
-            steps = self._book.open_steps(wall.now())
+            steps = self._book.ready_steps(wall.now())
             self._load_log.write(
                 self._roster.usable(),
                 self._roster.closed_capacity(),
--- a/pimentocross/owner/placer.py
+++ b/pimentocross/owner/placer.py
@@ -3,9 +3,9 @@
 from collections.abc import Mapping, Sequence
 from typing import Final
 
-from pimentocross.owner.advice import AdviceDesk
+from pimentocross.owner.advice import TicketCache
 from pimentocross.owner.isolation import Isolation
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.owner.orders import Placement
 from pimentocross.owner.rebalancer import Rebalancer
 from pimentocross.owner.worker import Worker
@@ -26,9 +26,9 @@
         self,
         healthy: Sequence[Worker],
         usable: Sequence[Worker],
-        learned: Learned,
+        learned: LearnedEstimates,
         rebalancer: Rebalancer,
-        advice: AdviceDesk,
+        advice: TicketCache,
         isolation: Isolation,
         now: float,
     ) -> None:
@@ -111,10 +111,10 @@
         found = [w for w in workers if w.life.id in tickets]
         fitting = sum(allows(w, step) for w in found)
         wanted = min(step.waiting_count, _MAX_ADVISED_WORKERS)
-        if fitting < wanted and not self._advice.is_asked(step):
+        if fitting < wanted and not self._advice.needs_no_request(step):
             eligible = [w for w in workers if allows(w, step)]
             eligible.sort(key=lambda w: -w.free.cpu)
-            self._advice.want(step, [w.life.id for w in eligible])
+            self._advice.request_tickets(step, [w.life.id for w in eligible])
         return found
 
     def _place_gang(
--- a/pimentocross/owner/rebalancer.py
+++ b/pimentocross/owner/rebalancer.py
@@ -9,7 +9,7 @@
 from typing import Final, NamedTuple
 
 from pimentocross.observe.decisions import note
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.owner.orders import Orders
 from pimentocross.owner.worker import Worker
 from pimentocross.placement.demand import Demand
@@ -49,7 +49,7 @@
         view: The view by which workers are compared, as of the last pass.
     """
 
-    def __init__(self, learned: Learned) -> None:
+    def __init__(self, learned: LearnedEstimates) -> None:
         """Initializes the rebalancer with the statistics about images."""
         self.view = unconstrained_context(learned.disturbance)
         self._disturbance = learned.disturbance
--- a/pimentocross/owner/resent_starts.py
+++ b/pimentocross/owner/resent_starts.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from pimentocross.owner.ledger import Ledger, PlainRecord
+from pimentocross.owner.ledger import LazyRecord, Ledger
 from pimentocross.owner.worker import RunKey
 from pimentocross.work import records
 from pimentocross.work.records import RepeatsRecord
@@ -35,7 +35,7 @@
         self._epoch = epoch
         self._former_epoch = former_epoch
         self._ledger = ledger
-        self._record = PlainRecord(records.REPEATS, self._encode)
+        self._record = LazyRecord(records.REPEATS, self._encode)
         self._former: RepeatsRecord | None = None
         self._runs: dict[RunKey, Run] = {}
         self._stored_events: dict[RunKey, trio.Event] = {}
--- a/pimentocross/owner/run_control.py
+++ b/pimentocross/owner/run_control.py
@@ -10,7 +10,7 @@
 import trio
 
 from pimentocross.owner import const
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.owner.orders import Orders
 from pimentocross.owner.roster import Roster
 from pimentocross.owner.worker import AT_WORK_PERCENT, Worker
@@ -52,7 +52,7 @@
     are noticed after that interval.
     """
 
-    def __init__(self, roster: Roster, learned: Learned) -> None:
+    def __init__(self, roster: Roster, learned: LearnedEstimates) -> None:
         """Initializes the controller with the workers and the statistics."""
         self._roster = roster
         self._learned = learned
@@ -119,7 +119,7 @@
             task.failed_on.add(worker.number)
             return "the worker is unsound"
         if worker.reachable and is_stalled(task, run, worker.last_reply_at):
-            self._learned.hold_against(worker, task)
+            self._learned.record_failure(worker, task)
             task.failed_on.add(worker.number)
             return "no progress"
         return ""
--- a/pimentocross/owner/silent_lives.py
+++ b/pimentocross/owner/silent_lives.py
@@ -12,7 +12,7 @@
 import trio
 
 from pimentocross.contracts.worker_link import WorkerLife
-from pimentocross.owner.ledger import Ledger, PlainRecord
+from pimentocross.owner.ledger import LazyRecord, Ledger
 from pimentocross.owner.life_numbers import KnownLife
 from pimentocross.work import records
 from pimentocross.work.crash_history import HELD_MOST
@@ -93,7 +93,7 @@
 
     def _put(self, life: str, entry: _SilentLife | None) -> None:
         self._ledger.put(
-            PlainRecord(
+            LazyRecord(
                 records.DOUBTS + life,
                 lambda: None if entry is None else entry.encode(),
             )
--- a/pimentocross/platform/__main__.py
+++ b/pimentocross/platform/__main__.py
@@ -56,9 +56,9 @@
     )
     node = GatewayNode(settings, platform, OperatorTopic(store))
     surfaces = HttpHandlers(
-        CallerSurface(node.desk).handle,
-        ReadySurface(node.desk).handle,
-        MetricsSurface(node.desk, node.gauges).handle,
+        CallerSurface(node.request_handler).handle,
+        ReadySurface(node.request_handler).handle,
+        MetricsSurface(node.request_handler, node.gauges).handle,
     )
     return node, surfaces
 
--- a/pimentocross/platform/callers.py
+++ b/pimentocross/platform/callers.py
@@ -43,9 +43,9 @@
 class CallerSurface:
     """Answers callers' requests."""
 
-    def __init__(self, desk: CallerRequestHandler) -> None:
+    def __init__(self, request_handler: CallerRequestHandler) -> None:
         """Takes what decides."""
-        self._desk = desk
+        self._request_handler = request_handler
 
     async def handle(self, request: HttpRequest) -> HttpReply:
         """Answers one request."""
@@ -55,15 +55,19 @@
         if request.method == "POST":
             return await self._submit(host, path, request.body, deadline)
         if request.method == "GET":
-            return _reply(await self._desk.query(host, path, deadline))
+            return _reply(
+                await self._request_handler.query(host, path, deadline)
+            )
         if request.method == "DELETE":
-            return _reply(await self._desk.cancel(host, path, deadline))
+            return _reply(
+                await self._request_handler.cancel(host, path, deadline)
+            )
         return HttpReply(405, [(b"allow", b"GET, POST, DELETE")], b"")
 
     async def _submit(
         self, host: str, path: str, body: bytes, deadline: float
     ) -> HttpReply:
-        found = await self._desk.find(host, path)
+        found = await self._request_handler.find(host, path)
         if isinstance(found, Answer):
             return _reply(found)
         try:
@@ -72,21 +76,23 @@
         except (WireError, SpecError) as error:
             content = msgspec.json.encode({"error": str(error)})
             return HttpReply(400, [_JSON], content)
-        return _reply(await self._desk.submit(found, spec, deadline))
+        return _reply(await self._request_handler.submit(found, spec, deadline))
 
 
 class MetricsSurface:
     """Serves counters and histograms."""
 
-    def __init__(self, desk: CallerRequestHandler, gauges: Gauges) -> None:
+    def __init__(
+        self, request_handler: CallerRequestHandler, gauges: Gauges
+    ) -> None:
         """Takes the desk, and what returns present values."""
-        self._desk = desk
+        self._request_handler = request_handler
         self._gauges = gauges
 
     async def handle(self, request: HttpRequest) -> HttpReply:
         """Answers one request."""
         if request.path == _METRICS_PATH:
-            page = render(self._desk.histograms, self._gauges())
+            page = render(self._request_handler.histograms, self._gauges())
             return HttpReply(200, [_TEXT], page)
         if request.path == DECISIONS_PATH:
             return HttpReply(200, [_TEXT], recent())
@@ -96,15 +102,15 @@
 class ReadySurface:
     """Tells the platform whether this VM takes callers."""
 
-    def __init__(self, desk: CallerRequestHandler) -> None:
+    def __init__(self, request_handler: CallerRequestHandler) -> None:
         """Takes what knows."""
-        self._desk = desk
+        self._request_handler = request_handler
 
     async def handle(self, request: HttpRequest) -> HttpReply:
         """Answers one request."""
         if request.path != _READY_PATH:
             return HttpReply(404, [], b"")
-        return HttpReply(200 if self._desk.ready() else 503, [], b"")
+        return HttpReply(200 if self._request_handler.ready() else 503, [], b"")
 
 
 def _deadline(request: HttpRequest) -> float:
--- a/tests/crash_loops.py
+++ b/tests/crash_loops.py
@@ -190,7 +190,7 @@
         while job not in self.states:
             if self._owner is not None:
                 with trio.move_on_after(1.0):
-                    await self._owner.desk.submit(job, QUEUE, asked)
+                    await self._owner.job_api.submit(job, QUEUE, asked)
                     self.states[job] = None
             await trio.sleep(0.05)
 
@@ -198,7 +198,7 @@
         """Returns whether each crashing job is reported as failed."""
         if self._owner is not None:
             for job in self.states:
-                reported = self._owner.desk.state(job).state
+                reported = self._owner.job_api.state(job).state
                 self.states[job] = reported or self.states[job]
         return all(
             state is JobState.FAILED
--- a/tests/random_take_overs.py
+++ b/tests/random_take_overs.py
@@ -18,7 +18,7 @@
 import trio
 
 from pimentocross.owner import wall
-from pimentocross.owner.desk import Outcome
+from pimentocross.owner.job_api import Outcome
 from pimentocross.standins.task_worker import (
     LASTS,
     RunEvent,
@@ -31,8 +31,8 @@
 from tests.gateway_fixtures import STRONG, WEAK, VmCell
 from tests.owner_fixtures import (
     QUEUE,
-    find_again,
-    find_twice,
+    find_overlapping_starts,
+    find_starts_after_success,
     life,
     make_hall,
     spec,
@@ -128,7 +128,9 @@
         )
         assert self._accepted, "no job was accepted"
         return Violations(
-            find_twice(journal), find_again(journal), self._missing_tasks
+            find_overlapping_starts(journal),
+            find_starts_after_success(journal),
+            self._missing_tasks,
         )
 
     def _plan_task(self, name: TaskName) -> TaskPlan:
@@ -148,7 +150,7 @@
                 if owner is None:
                     # The owner has ended while another one was asked.
                     continue
-                reply = await owner.desk.submit(job, QUEUE, asked)
+                reply = await owner.job_api.submit(job, QUEUE, asked)
                 if reply.outcome is Outcome.OK:
                     self._accepted.add(job)
                     return True
--- a/tests/test_absent_workers.py
+++ b/tests/test_absent_workers.py
@@ -18,7 +18,7 @@
 from tests.gateway_fixtures import STRONG, WEAK, Vm, VmCell
 from tests.owner_fixtures import (
     QUEUE,
-    find_twice,
+    find_overlapping_starts,
     make_hall,
     make_owner,
     running,
@@ -68,7 +68,7 @@
     await wait_until(lambda: _all_running(hall), timeout=60.0)
     took = trio.current_time() - since
     assert took < _MAX_DOWNTIME, f"away for {took:.1f} s"
-    assert not find_twice(hall.journal)
+    assert not find_overlapping_starts(hall.journal)
 
 
 async def _wait_for_owner(cell: VmCell, *names: str) -> Vm:
@@ -81,7 +81,7 @@
 
 async def _submit(owner: Owner | None, hall: WorkerHall) -> None:
     assert owner is not None
-    await owner.desk.submit(_JOB, QUEUE, _watch_spec())
+    await owner.job_api.submit(_JOB, QUEUE, _watch_spec())
     await wait_until(lambda: _all_running(hall))
     await trio.sleep(3.0)
 
--- a/tests/test_former_leases.py
+++ b/tests/test_former_leases.py
@@ -25,7 +25,7 @@
     CONFIG,
     QUEUE,
     count,
-    find_twice,
+    find_overlapping_starts,
     life,
     make_hall,
     make_owner,
@@ -54,7 +54,9 @@
     for worker in hall.workers.values():
         worker.advance()
     journal = sorted(hall.journal, key=lambda e: (e.at, e.what == "start"))
-    assert not find_twice(journal), find_twice(journal)
+    assert not find_overlapping_starts(journal), find_overlapping_starts(
+        journal
+    )
 
 
 def _newest_leases(store: StoreStandin) -> records.LeasesRecord:
@@ -87,7 +89,7 @@
     async with running(make_owner(store, hall, 1)) as owner:
         await trio.sleep(0.5)
         worker.faults.silent = True
-        await owner.desk.submit("watch", QUEUE, _watch(1))
+        await owner.job_api.submit("watch", QUEUE, _watch(1))
         await trio.sleep(0.3)
     sent_at = trio.current_time()
     worker.crash()
@@ -102,7 +104,7 @@
         longest = const.LATE_START_WINDOW + _OWNER_GAP + _START_WITHIN
         until = sent_at + longest - trio.current_time()
         await wait_until(lambda: count(hall.journal, "start") == 1, until)
-    assert not find_twice(hall.journal)
+    assert not find_overlapping_starts(hall.journal)
 
 
 async def test_a_quiet_claim_says_nothing_of_owners_before_the_last() -> None:
@@ -117,7 +119,7 @@
         cell.start("third", WEAK)
         owner = cell.owners()[0].election.owner
         assert owner is not None
-        await owner.desk.submit("watch", QUEUE, _watch(6))
+        await owner.job_api.submit("watch", QUEUE, _watch(6))
         await wait_until(lambda: count(hall.journal, "start") == 6)
         await trio.sleep(2.0)
         # Removes the record, as an owner of a former version writes none.
@@ -144,7 +146,7 @@
     # first had ended, and its record made all later owners wait.
     store, hall = StoreStandin(), make_hall(3, _lasting)
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("watch", QUEUE, _watch(6))
+        await owner.job_api.submit("watch", QUEUE, _watch(6))
         await wait_until(lambda: count(hall.journal, "start") == 6)
         await trio.sleep(2.0)
     _remove_worker(hall, _first_used_worker(hall))
@@ -164,7 +166,7 @@
     # anew on a worker that no owner can reach.
     store, hall = StoreStandin(), make_hall(3, _lasting)
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("watch", QUEUE, _watch(6))
+        await owner.job_api.submit("watch", QUEUE, _watch(6))
         await wait_until(lambda: count(hall.journal, "start") == 6)
         await trio.sleep(2.0)
     # The worker runs on and stays listed: it reaches the store but no VM.
@@ -187,7 +189,7 @@
     # that passes after the last record of an owner isn't subtracted.
     store, hall = StoreStandin(), make_hall(3, _lasting)
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("watch", QUEUE, _watch(6))
+        await owner.job_api.submit("watch", QUEUE, _watch(6))
         await wait_until(lambda: count(hall.journal, "start") == 6)
         await trio.sleep(2.0)
     _remove_worker(hall, _first_used_worker(hall))
@@ -217,7 +219,7 @@
     """Counts leases that lapse as entries come back after a take-over."""
     store, hall = StoreStandin(), make_hall(4, _lasting)
     async with running(make_owner(store, hall, 1)) as owner:
-        await owner.desk.submit("watch", QUEUE, _watch(6))
+        await owner.job_api.submit("watch", QUEUE, _watch(6))
         await trio.sleep(owned_for)
     # After a store outage, entries are missing for up to two seconds.
     hall.unlisted.update(hall.workers)
@@ -300,7 +302,7 @@
     owner: Owner, store: StoreStandin, hall: WorkerHall
 ) -> str:
     """Cuts off a worker with tasks until it is barred; returns its id."""
-    await owner.desk.submit("watch", QUEUE, _watch(6))
+    await owner.job_api.submit("watch", QUEUE, _watch(6))
     await wait_until(lambda: count(hall.journal, "start") == 6)
     await trio.sleep(1.0)
     cut_off = _first_used_worker(hall)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -31,7 +31,7 @@
 )
 from pimentocross.links.greeting import PeerIdentity
 from pimentocross.links.peer import PeerUnreachableError
-from pimentocross.owner.desk import Outcome
+from pimentocross.owner.job_api import Outcome
 from pimentocross.owner.owner import CellPlatform
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.worker_hall import WorkerHall
@@ -41,7 +41,7 @@
     CONFIG,
     QUEUE,
     chain,
-    find_twice,
+    find_overlapping_starts,
     make_hall,
     wait_until,
 )
@@ -125,7 +125,7 @@
         await wait_until(lambda: any(vm.owns for vm in vms))
         owner = next(vm for vm in vms if vm.owns)
         assert owner.election.owner is not None
-        await owner.election.owner.desk.submit("j1", QUEUE, chain(2, 1))
+        await owner.election.owner.job_api.submit("j1", QUEUE, chain(2, 1))
         scopes[owner.identity.name].cancel()
         died_at = trio.current_time()
         rest = [vm for vm in vms if vm is not owner]
@@ -133,8 +133,10 @@
         assert trio.current_time() - died_at < 3.0
         successor = next(vm for vm in rest if vm.owns)
         assert successor.election.owner is not None
-        assert successor.election.owner.desk.state("j1").outcome is Outcome.OK
-    assert not find_twice(hall.journal)
+        assert (
+            successor.election.owner.job_api.state("j1").outcome is Outcome.OK
+        )
+    assert not find_overlapping_starts(hall.journal)
 
 
 async def test_a_restarted_process_follows_its_own_former_self() -> None:
--- a/tests/test_job_progress.py
+++ b/tests/test_job_progress.py
@@ -1,10 +1,10 @@
-"""What a job counts as its tasks change is what a look at all would give."""
+"""Tests a job's incremental counts against a recount of all its tasks."""
 
 import random
 
 import msgspec
 
-from pimentocross.owner.jobs import JobBook
+from pimentocross.owner.jobs import JobRegistry
 from pimentocross.owner.ledger import Ledger
 from pimentocross.standins.store import StoreStandin
 from pimentocross.work import records
@@ -20,15 +20,17 @@
     ended: set[JobState] = set()
     for seed in range(_SEEDS):
         draw = random.Random(seed)
-        book = JobBook(Ledger(StoreStandin().client("a"), "jobs", "o", 1), 1.0)
+        registry = JobRegistry(
+            Ledger(StoreStandin().client("a"), "jobs", "o", 1), 1.0
+        )
         job = Job("j", QUEUE, _spec(draw), 0.0)
-        book.restore(job)
+        registry.restore(job)
         for _ in range(_CHANGES):
             _change(draw, draw.choice(list(job.tasks())))
             expected = _expected_state(job)
-            book.changed(job)
+            registry.changed(job)
             assert job.state is expected, seed
-            assert set(book.open_steps(1e12)) == _expected_open(job), seed
+            assert set(registry.ready_steps(1e12)) == _expected_open(job), seed
             _check_record(job)
             if job.ended:
                 break
@@ -51,13 +53,13 @@
 
 
 def _change(draw: random.Random, task: Task) -> None:
-    """Changes a task in one of the ways that owners do."""
+    """Changes a task in one of the ways in which owners change tasks."""
     number = task.last_run + 1
     chance = draw.random()
     if chance < 0.4:
         task.add_run(Run(number, 7))
     elif chance < 0.5 and task.runs:
-        # A run that is known is listed anew.
+        # A known run is listed again.
         task.add_run(Run(max(task.runs), 8))
     elif chance < 0.6:
         task.checkpoint = f"saved {number}"
@@ -76,7 +78,7 @@
 
 
 def _expected_state(job: Job) -> JobState:
-    """Returns where a job stands, by a look at all its tasks."""
+    """Returns the state of a job, computed from all its tasks."""
     for step in _steps(job):
         failures = [t.failures for t in step.tasks if not t.done]
         most = sum(failures) if step.spec.gang else max(failures, default=0)
@@ -105,7 +107,7 @@
 
 
 def _check_record(job: Job) -> None:
-    """Checks a job's record against its tasks, and that it can be read."""
+    """Checks that a job's record restores the state of its tasks."""
     value = records.encode_progress(job)
     again = Job("j", QUEUE, job.spec, 0.0)
     records.decode_progress(again, value)
--- a/tests/test_new_workers.py
+++ b/tests/test_new_workers.py
@@ -11,7 +11,7 @@
 
 from pimentocross.contracts.store import Record
 from pimentocross.owner import wall
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.owner.owner import Owner
 from pimentocross.placement.disturbance import PairEstimate
 from pimentocross.standins.store import StoreStandin
@@ -64,13 +64,13 @@
             image="x",
             fills=True,
         )
-        await owner.desk.submit(job, QUEUE, spec(step))
+        await owner.job_api.submit(job, QUEUE, spec(step))
         await trio.sleep(_ARRIVAL_INTERVAL)
 
 
 async def _run_load(hall: WorkerHall, sent: dict[str, float]) -> float:
     """Runs the load; returns when the new workers were added."""
-    store, learned = StoreStandin(), Learned()
+    store, learned = StoreStandin(), LearnedEstimates()
     learned.disturbance.restore([PairEstimate("serves", "x", 0.0, 0.01)], 0.0)
     record = Record(records.LEARNED, learned.encode())
     await store.client("a").append("jobs", [record], 1.0)
@@ -86,7 +86,7 @@
                 image="serves",
                 target_tail=20,
             )
-            await owner.desk.submit("serves", QUEUE, spec(serves))
+            await owner.job_api.submit("serves", QUEUE, spec(serves))
             await trio.sleep(3.0)
             nursery.start_soon(_submit_fillers, owner, sent)
             await trio.sleep(_CROWDED_SECONDS)
--- a/tests/test_pass_cost.py
+++ b/tests/test_pass_cost.py
@@ -14,7 +14,7 @@
 import trio
 
 from pimentocross.owner import const, run_control
-from pimentocross.owner.jobs import JobBook
+from pimentocross.owner.jobs import JobRegistry
 from pimentocross.owner.worker import Worker
 from pimentocross.placement import field, hosts
 from pimentocross.placement.pacing import next_paces
@@ -66,7 +66,7 @@
     return worker
 
 
-def _submit_jobs(book: JobBook, job_groups: int) -> int:
+def _submit_jobs(book: JobRegistry, job_groups: int) -> int:
     """Submits 40 tasks per group; returns the number of tasks."""
     tasks = 0
     for group in range(job_groups):
--- a/tests/test_pass_share.py
+++ b/tests/test_pass_share.py
@@ -81,7 +81,9 @@
             for number in range(9):
                 await trio.sleep(0.37)
                 began = trio.current_time()
-                await cell.owner.desk.submit(f"u{number}", QUEUE, chain(1, 1))
+                await cell.owner.job_api.submit(
+                    f"u{number}", QUEUE, chain(1, 1)
+                )
                 with _more_starts(cell.hall) as has_started:
                     await wait_until(has_started)
                 took = trio.current_time() - began
@@ -93,7 +95,9 @@
 def test_the_least_urgent_task_starts_though_none_before_it_fits() -> None:
     async def play(clock: ChargingClock) -> None:
         async with _busy_cell(clock) as cell:
-            await cell.owner.desk.submit("last", _LOWEST_PRIORITY, chain(1, 1))
+            await cell.owner.job_api.submit(
+                "last", _LOWEST_PRIORITY, chain(1, 1)
+            )
             # With half of the thread, a round over all waiting steps takes
             # 2.4 s. It takes two rounds if the job arrived just after its turn.
             with trio.fail_after(6.0), _more_starts(cell.hall) as has_started:
@@ -110,7 +114,7 @@
     with _placing_charged(clock, cell):
         async with running(cell.owner) as owner:
             for number in range(_WAITING):
-                await owner.desk.submit(
+                await owner.job_api.submit(
                     f"f{number}", _LOW_PRIORITY, _unplaceable(number)
                 )
             await trio.sleep(1.0)
--- a/tests/test_starts_held.py
+++ b/tests/test_starts_held.py
@@ -6,7 +6,7 @@
 import trio
 
 from pimentocross.owner import const, wall
-from pimentocross.owner.learned import Learned
+from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.owner.orders import Orders
 from pimentocross.owner.run_control import RunController
 from pimentocross.owner.worker import Worker
@@ -17,10 +17,10 @@
 from tests.owner_fixtures import (
     QUEUE,
     count,
-    find_again,
-    find_twice,
+    find_overlapping_starts,
+    find_starts_after_success,
     life,
-    longest_away,
+    longest_interruption,
     make_hall,
     make_owner,
     running,
@@ -54,9 +54,11 @@
     with mock.patch.object(wall, "now", trio.current_time):
         await _simulate_unanswered(hall)
     assert count(hall.journal, "done")
-    assert longest_away(hall.journal) < _DOWN_MOST, longest_away(hall.journal)
-    assert not find_twice(hall.journal)
-    assert not find_again(hall.journal)
+    assert longest_interruption(hall.journal) < _DOWN_MOST, (
+        longest_interruption(hall.journal)
+    )
+    assert not find_overlapping_starts(hall.journal)
+    assert not find_starts_after_success(hall.journal)
 
 
 async def _simulate_unanswered(hall: WorkerHall) -> None:
@@ -68,7 +70,7 @@
         for worker in hall.workers.values():
             worker.faults.lost = 1.0
         for number in range(4):
-            await owner.desk.submit(f"watch{number}", QUEUE, watch)
+            await owner.job_api.submit(f"watch{number}", QUEUE, watch)
         await wait_until(lambda: count(hall.journal, "start") == 32)
     for worker in hall.workers.values():
         worker.faults.lost = 0.0
@@ -76,7 +78,7 @@
         await successor.settled.wait()
         short = spec(StepSpec(1, _SHORT_SIZE, 0.5))
         for number in range(30):
-            await successor.desk.submit(f"short{number}", QUEUE, short)
+            await successor.job_api.submit(f"short{number}", QUEUE, short)
             await trio.sleep(1.0)
 
 
@@ -92,7 +94,7 @@
     recorded = RecordedOrders()
     orders = cast(Orders, recorded)
     roster = mock.Mock(workers=mock.Mock(return_value=[worker]))
-    care = RunController(roster, Learned())
+    care = RunController(roster, LearnedEstimates())
     await trio.sleep_until(late_until - 0.1)
     care.pass_over(orders)
     assert not recorded.stopped
@@ -126,9 +128,9 @@
         await trio.sleep(0.5)
         for worker in hall.workers.values():
             worker.faults.late = 1.0
-        await owner.desk.submit("short", QUEUE, job)
+        await owner.job_api.submit("short", QUEUE, job)
         await trio.sleep(2.0)
-        assert owner.desk.pending(QUEUE.name) == 1
+        assert owner.job_api.pending(QUEUE.name) == 1
     for worker in hall.workers.values():
         worker.restart()
         worker.faults.late = 0.0
@@ -136,14 +138,14 @@
         await successor.settled.wait()
         await trio.sleep(2.0)
         assert not count(hall.journal, "start")
-        assert successor.desk.pending(QUEUE.name) == 1
-        await successor.desk.submit("watch", QUEUE, _WATCH_JOB)
+        assert successor.job_api.pending(QUEUE.name) == 1
+        await successor.job_api.submit("watch", QUEUE, _WATCH_JOB)
         await wait_until(lambda: count(hall.journal, "start") == 1)
-        assert successor.desk.pending(QUEUE.name) == 1
+        assert successor.job_api.pending(QUEUE.name) == 1
         await wait_until(lambda: count(hall.journal, "start") == 2)
-        await wait_until(lambda: successor.desk.pending(QUEUE.name) == 0)
+        await wait_until(lambda: successor.job_api.pending(QUEUE.name) == 0)
     async with running(make_owner(store, hall, 3)) as third:
-        assert third.desk.pending(QUEUE.name) == 0
+        assert third.job_api.pending(QUEUE.name) == 0
 
 
 async def test_what_was_carried_out_once_is_not_held_by_the_next_owner() -> (
@@ -156,7 +158,7 @@
         await trio.sleep(0.5)
         for worker in hall.workers.values():
             worker.faults.lost = 1.0
-        await owner.desk.submit("watch", QUEUE, _WATCH_JOB)
+        await owner.job_api.submit("watch", QUEUE, _WATCH_JOB)
         await wait_until(lambda: count(hall.journal, "start") == 1)
     for worker in hall.workers.values():
         worker.faults.lost = 0.0
@@ -164,4 +166,4 @@
     await trio.sleep(const.LEASE)
     async with running(make_owner(store, hall, 2)):
         await wait_until(lambda: count(hall.journal, "start") == 2, _DOWN_MOST)
-    assert not find_twice(hall.journal)
+    assert not find_overlapping_starts(hall.journal)
