--- a/pimentocross/gateway/node.py
+++ b/pimentocross/gateway/node.py
@@ -59,7 +59,7 @@
     """An entry VM's process.
 
     Attributes:
-        desk: Answers callers' requests.
+        request_handler: Answers callers' requests.
     """
 
     def __init__(
