--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -49,7 +49,7 @@
     JobAccepted,
     TaskEnded,
 )
-from pimentocross.zones.placer import View
+from pimentocross.zones.placer import WorkerView
 from pimentocross.zones.views import Target
 
 # Headers and first lines of one HTTP exchange with a worker, as counted on
@@ -213,10 +213,10 @@
     return float(held)
 
 
-def _views(workers: int) -> list[View]:
+def _views(workers: int) -> list[WorkerView]:
     capacity = Resources(16.0, 60_000_000_000, 0, 8)
     return [
-        View(
+        WorkerView(
             f"w{n}", Resources(n % 9 + 2.0, 10**10, 0, n % 7 + 1), capacity, {}
         )
         for n in range(workers)
--- a/pimentocross/config/__init__.py
+++ b/pimentocross/config/__init__.py
@@ -1,1 +1,1 @@
-"""The folder of YAML files: merged by name, checked, findings with place."""
+"""Loads the configuration: merges and checks a folder of YAML files."""
--- a/pimentocross/config/checks.py
+++ b/pimentocross/config/checks.py
@@ -1,4 +1,4 @@
-"""What a schema can't say: references, sums, and what fits on a VM."""
+"""Checks beyond the schema: references, totals, and what fits on a VM."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -8,15 +8,15 @@
 from pimentocross.config.tree import KeyPath
 
 
-class Complaint(NamedTuple):
-    """Something wrong at a path of the configuration."""
+class Violation(NamedTuple):
+    """A rule that the value at a path of the configuration violates."""
 
     path: KeyPath
     message: str
 
 
-def check_configuration(config: Configuration) -> list[Complaint]:
-    """Returns all that is wrong, in the order of the sections."""
+def check_configuration(config: Configuration) -> list[Violation]:
+    """Returns all violations, in the order of the checks."""
     return [
         *_check_names(config),
         *_check_tenants(config),
@@ -24,24 +24,24 @@
         *_check_sharing(config),
         *_check_objective(config),
         *_check_sizes(config),
-        *_check_sums(config),
+        *_check_total_demand(config),
         *_check_quotas(config),
     ]
 
 
 def total_capacity(config: Configuration) -> Resources:
-    """Returns what all workers together can carry."""
+    """Returns the total resources of all workers."""
     workers = sum(zone.workers for zone in config.zones.values())
-    one = config.workers.resources
+    per_worker = config.workers.resources
     return Resources(
-        one.processors * workers,
-        one.memory * workers,
-        one.accelerators * workers,
-        one.slots * workers,
+        per_worker.processors * workers,
+        per_worker.memory * workers,
+        per_worker.accelerators * workers,
+        per_worker.slots * workers,
     )
 
 
-def _sections(
+def _sized_entries(
     config: Configuration,
 ) -> Iterator[tuple[str, str, str, SizeConfig]]:
     for name, service in config.services.items():
@@ -52,80 +52,93 @@
         yield "watches", name, watch.tenant, watch.size
 
 
-def _check_names(config: Configuration) -> Iterator[Complaint]:
+def _check_names(config: Configuration) -> Iterator[Violation]:
     seen: dict[str, str] = {}
-    for section, name, _, _ in _sections(config):
+    for section, name, _, _ in _sized_entries(config):
         if name in seen:
-            yield Complaint(
-                (section, name), f"{name!r} is also in {seen[name]}"
+            yield Violation(
+                (section, name), f"{name!r} is also defined in {seen[name]}"
             )
         if not name or "/" in name or "." in name:
-            yield Complaint((section, name), "a name has no '/' or '.'")
+            yield Violation(
+                (section, name), "names must not be empty or contain '/' or '.'"
+            )
         seen[name] = section
     for zone in config.zones:
         if not zone or "/" in zone or "." in zone:
-            yield Complaint(("zones", zone), "a name has no '/' or '.'")
+            yield Violation(
+                ("zones", zone), "names must not be empty or contain '/' or '.'"
+            )
 
 
-def _check_tenants(config: Configuration) -> Iterator[Complaint]:
-    for section, name, tenant, _ in _sections(config):
+def _check_tenants(config: Configuration) -> Iterator[Violation]:
+    for section, name, tenant, _ in _sized_entries(config):
         if tenant not in config.tenants:
             path = (section, name, "tenant")
-            yield Complaint(path, f"no tenant {tenant!r}")
+            yield Violation(path, f"no tenant {tenant!r}")
 
 
-def _check_watch_zones(config: Configuration) -> Iterator[Complaint]:
+def _check_watch_zones(config: Configuration) -> Iterator[Violation]:
     for name, watch in config.watches.items():
         if watch.zone not in config.zones:
             path = ("watches", name, "zone")
-            yield Complaint(path, f"no availability zone {watch.zone!r}")
+            yield Violation(path, f"no availability zone {watch.zone!r}")
 
 
-def _check_sharing(config: Configuration) -> Iterator[Complaint]:
-    known = {name for _, name, _, _ in _sections(config)}
+def _check_sharing(config: Configuration) -> Iterator[Violation]:
+    known = {name for _, name, _, _ in _sized_entries(config)}
     for name, rule in config.sharing.items():
         if rule.batch not in config.batch:
             path = ("sharing", name, "batch")
-            yield Complaint(path, f"no batch class {rule.batch!r}")
+            yield Violation(path, f"no batch class {rule.batch!r}")
         if rule.beside not in known:
             path = ("sharing", name, "beside")
-            yield Complaint(path, f"no service or class {rule.beside!r}")
+            yield Violation(path, f"no service or class {rule.beside!r}")
 
 
-def _check_objective(config: Configuration) -> Iterator[Complaint]:
+def _check_objective(config: Configuration) -> Iterator[Violation]:
     if sum(config.objective) <= 0:
-        yield Complaint(("objective",), "at least one weight is above 0")
+        yield Violation(("objective",), "at least one weight must be above 0")
 
 
-def _check_sizes(config: Configuration) -> Iterator[Complaint]:
+def _check_sizes(config: Configuration) -> Iterator[Violation]:
     capacity = config.workers.resources
-    for section, name, _, size in _sections(config):
-        for part in Resources._fields:
-            wanted = getattr(size, part)
-            most = getattr(capacity, part)
-            if wanted > most:
-                path = (section, name, "size", part)
-                message = f"{wanted} {part} fit on no VM, which has {most}"
-                yield Complaint(path, message)
-
-
-def _check_sums(config: Configuration) -> Iterator[Complaint]:
-    standing = Resources(0.0, 0, 0, 0)
+    for section, name, _, size in _sized_entries(config):
+        for resource in Resources._fields:
+            requested = getattr(size, resource)
+            available = getattr(capacity, resource)
+            if requested > available:
+                path = (section, name, "size", resource)
+                message = (
+                    f"{requested} {resource} fit on no VM, which has"
+                    f" {available}"
+                )
+                yield Violation(path, message)
+
+
+def _check_total_demand(config: Configuration) -> Iterator[Violation]:
+    demand = Resources(0.0, 0, 0, 0)
     for service in config.services.values():
         for _ in range(service.replicas):
-            standing = standing.plus(service.size.resources)
+            demand = demand.plus(service.size.resources)
     for watch in config.watches.values():
         for _ in range(watch.instances):
-            standing = standing.plus(watch.size.resources)
+            demand = demand.plus(watch.size.resources)
     capacity = total_capacity(config)
-    for part in Resources._fields:
-        wanted, most = getattr(standing, part), getattr(capacity, part)
-        if wanted > most:
-            message = f"services and watches need {wanted} {part} of {most}"
-            yield Complaint(("services",), message)
+    for resource in Resources._fields:
+        requested, available = (
+            getattr(demand, resource),
+            getattr(capacity, resource),
+        )
+        if requested > available:
+            message = (
+                f"services and watches need {requested} {resource}, but all"
+                f" workers together have {available}"
+            )
+            yield Violation(("services",), message)
 
 
-def _check_quotas(config: Configuration) -> Iterator[Complaint]:
+def _check_quotas(config: Configuration) -> Iterator[Violation]:
     quotas = [t.quota for t in config.tenants.values() if t.quota]
     capacity = total_capacity(config)
     processors = sum(q.processors for q in quotas)
@@ -134,8 +147,11 @@
             f"quotas of {processors:g} processors exceed the"
             f" {capacity.processors:g} there are"
         )
-        yield Complaint(("tenants",), message)
+        yield Violation(("tenants",), message)
     memory = sum(q.memory for q in quotas)
     if memory > capacity.memory:
-        message = f"quotas of {memory} bytes exceed the {capacity.memory}"
-        yield Complaint(("tenants",), message)
+        message = (
+            f"quotas of {memory} bytes of memory exceed the"
+            f" {capacity.memory} there are"
+        )
+        yield Violation(("tenants",), message)
--- a/pimentocross/config/findings.py
+++ b/pimentocross/config/findings.py
@@ -1,10 +1,10 @@
-"""What is wrong with a configuration, and where."""
+"""Findings: errors in a configuration and their source locations."""
 
 from typing import NamedTuple
 
 
-class Place(NamedTuple):
-    """A place in a file; line and column count from 1."""
+class SourceLocation(NamedTuple):
+    """A location in a file; line and column count from 1."""
 
     file: str
     line: int
@@ -16,11 +16,11 @@
 
 
 class Finding(NamedTuple):
-    """One thing that is wrong."""
+    """An error in the configuration and its source location."""
 
-    place: Place
+    place: SourceLocation
     message: str
 
     def __str__(self) -> str:
-        """Returns the place and the message on one line."""
+        """Returns the location and the message on one line."""
         return f"{self.place}: {self.message}"
--- a/pimentocross/config/load.py
+++ b/pimentocross/config/load.py
@@ -1,4 +1,4 @@
-"""Files into a checked configuration, or into all that is wrong with them."""
+"""Loads files into a checked configuration, or lists all their errors."""
 
 from collections.abc import Mapping
 from functools import cache
@@ -10,12 +10,12 @@
 from pydantic_core import ErrorDetails
 
 from pimentocross.config.checks import check_configuration
-from pimentocross.config.findings import Finding, Place
+from pimentocross.config.findings import Finding, SourceLocation
 from pimentocross.config.schema import Configuration
 from pimentocross.config.tree import KeyPath, Tree, read_tree
 
 SUFFIX: Final = ".yaml"
-FILE_MOST: Final = 1_000_000
+MAX_FILE_BYTES: Final = 1_000_000
 
 _MESSAGES: Final = {
     "extra_forbidden": "unknown key",
@@ -45,7 +45,7 @@
     """Merges and checks files.
 
     Returns:
-        The configuration, or all findings in the order of their places.
+        The configuration, or all findings in the order of their locations.
     """
     tree = read_tree(files)
     findings = list(tree.findings)
@@ -56,10 +56,10 @@
         for detail in error.errors(include_url=False):
             findings.append(_to_finding(tree, detail))
     if config is not None:
-        for complaint in check_configuration(config):
-            place = _find_place(tree, complaint.path)
-            path = ".".join(str(part) for part in complaint.path)
-            findings.append(Finding(place, f"{path}: {complaint.message}"))
+        for violation in check_configuration(config):
+            location = _find_location(tree, violation.path)
+            path = ".".join(str(part) for part in violation.path)
+            findings.append(Finding(location, f"{path}: {violation.message}"))
     if findings or config is None:
         return Error(sorted(set(findings)))
     return Ok(config)
@@ -70,10 +70,10 @@
     message = _MESSAGES.get(detail["type"], detail["msg"])
     message = message.removeprefix("Value error, ")
     name = ".".join(str(part) for part in path)
-    return Finding(_find_place(tree, path), f"{name}: {message}")
+    return Finding(_find_location(tree, path), f"{name}: {message}")
 
 
-def _find_place(tree: Tree, path: KeyPath) -> Place:
-    while path and path not in tree.places:
+def _find_location(tree: Tree, path: KeyPath) -> SourceLocation:
+    while path and path not in tree.locations:
         path = path[:-1]
-    return tree.places.get(path, Place("(folder)", 1, 1))
+    return tree.locations.get(path, SourceLocation("(folder)", 1, 1))
--- a/pimentocross/config/schema.py
+++ b/pimentocross/config/schema.py
@@ -1,4 +1,4 @@
-"""What a configuration holds, with units resolved and defaults filled in."""
+"""Schema of the configuration, with units resolved and defaults applied."""
 
 from typing import Annotated, NamedTuple
 
@@ -14,7 +14,7 @@
 
 
 class SizeConfig(NamedTuple):
-    """What one task may use on its VM."""
+    """Resources that one task may use on its VM."""
 
     processors: Amount
     memory: Size
@@ -23,7 +23,7 @@
 
     @property
     def resources(self) -> Resources:
-        """The same as an amount."""
+        """The same values as `Resources`."""
         return Resources(*self)
 
 
@@ -35,7 +35,7 @@
 
 
 class WorkersConfig(NamedTuple):
-    """What every worker can carry."""
+    """Capacity of every worker, and the number of workers per rack."""
 
     processors: Amount
     memory: Size
@@ -46,7 +46,7 @@
 
     @property
     def resources(self) -> Resources:
-        """The same as an amount."""
+        """The same values as `Resources`."""
         return Resources(
             self.processors, self.memory, self.accelerators, self.slots
         )
@@ -56,9 +56,9 @@
     """A latency-critical service.
 
     Attributes:
-        tenant: Whose it is.
-        replicas: Tasks that run it, over all zones.
-        size: What one of them may use.
+        tenant: Tenant that the service belongs to.
+        replicas: Tasks that run the service, over all zones.
+        size: Resources that one replica may use.
         concurrency: Requests that one replica runs at once.
         timeout: Longest time for an answer if the caller sets none.
         idempotent_methods: Methods that may be retried and hedged.
@@ -78,8 +78,8 @@
     """A class of batch jobs.
 
     Attributes:
-        tenant: Whose it is.
-        size: What one task may use.
+        tenant: Tenant that the service belongs to.
+        size: Resources that one task may use.
         run_time: How long one task is expected to take.
         tries: Failed attempts after which the job has failed.
         urgent: Whether its jobs go before others.
@@ -93,7 +93,7 @@
 
 
 class WatchConfig(NamedTuple):
-    """A standing watch: instances that run all season in one zone."""
+    """A watch: standing work whose instances keep running in one zone."""
 
     tenant: str
     size: SizeConfig
@@ -102,21 +102,27 @@
 
 
 class QuotaConfig(NamedTuple):
-    """What a tenant's batch tasks may hold while others want capacity."""
+    """Limit of a tenant's batch tasks while other tenants need capacity."""
 
     processors: Amount
     memory: Size
 
 
 class TenantConfig(NamedTuple):
-    """A team: its weight among others and its quota."""
+    """A team: its weight relative to other tenants, and its quota."""
 
     weight: Amount = 1.0
     quota: QuotaConfig | None = None
 
 
 class SharingRule(NamedTuple):
-    """At most so many tasks of one class on a VM that runs another."""
+    """Limits tasks of a batch class on a VM that runs another class.
+
+    Attributes:
+        batch: The limited batch class.
+        beside: The service, batch class or watch on the same VM.
+        at_most: Number of tasks of `batch` allowed beside it.
+    """
 
     batch: str
     beside: str
@@ -124,7 +130,7 @@
 
 
 class ObjectiveConfig(NamedTuple):
-    """How much each measure weighs; only their proportions matter."""
+    """Weights of the placement measures; only their proportions matter."""
 
     tail_latency: Share
     batch_throughput: Share
--- a/pimentocross/config/state.py
+++ b/pimentocross/config/state.py
@@ -1,4 +1,4 @@
-"""The configuration in force, folded from the configuration stream."""
+"""The current configuration, folded from the configuration stream."""
 
 from typing import NamedTuple
 
@@ -12,12 +12,12 @@
 
 
 class ConfigChanged(NamedTuple):
-    """Files set and removed, against the version that was in force.
+    """Files set and removed, based on the version then in force.
 
     Attributes:
-        base: Version that the operator saw.
+        base: Version that the operator's change is based on.
         files: Texts of new and changed files by name.
-        removed: Names of files that are dropped.
+        removed: Names of removed files.
     """
 
     base: int
@@ -31,26 +31,26 @@
 
 
 class ConfigState:
-    """Files and the configuration that they make.
+    """The configuration files and the configuration loaded from them.
 
-    A change against another version than the newest, or one that does not
-    check, is rejected by every reader alike.
+    Every reader rejects the same changes: those based on another version than
+    the newest, and those that do not pass the checks.
     """
 
     def __init__(self) -> None:
-        """Starts without a configuration."""
+        """Initializes without files and without a configuration."""
         self._version = NO_VERSION
         self._files: dict[str, str] = {}
         self._config: Configuration | None = None
 
     @property
     def version(self) -> int:
-        """Offset plus one of the newest change, 0 for none."""
+        """Offset plus one of the newest accepted change, 0 for none."""
         return self._version
 
     @property
     def files(self) -> dict[str, str]:
-        """Texts by file name."""
+        """File texts by file name."""
         return self._files
 
     @property
@@ -59,7 +59,7 @@
         return self._config
 
     def apply(self, offset: int, body: RecordBody) -> str | None:
-        """Folds one record; returns why it is rejected, or None."""
+        """Applies one record; returns why it is rejected, or None."""
         changed = KINDS.decode(body)
         if changed is None:
             return "unknown record"
@@ -82,7 +82,7 @@
         return {"version": self._version, "files": dict(self._files)}
 
     def load(self, dump: RecordBody) -> None:
-        """Replaces the state by a dumped one."""
+        """Replaces the state with a dumped one."""
         self._version = int(dump["version"])
         self._files = dict(dump["files"])
         loaded = load_configuration(self._files)
@@ -92,10 +92,10 @@
 def find_unsafe_change(
     old: Configuration | None, new: Configuration
 ) -> str | None:
-    """Returns why a change could break a promise, or None.
+    """Returns why a change could run a watch twice, or None.
 
-    A watch that moved to another zone would be started by that zone's owner
-    before the old one's has heard of the change.
+    If a watch moved to another zone, that zone's owner could start it before
+    the old zone's owner has read the change and stopped it.
     """
     if old is None:
         return None
--- a/pimentocross/config/tree.py
+++ b/pimentocross/config/tree.py
@@ -1,70 +1,70 @@
-"""YAML files into one tree of plain values that knows where each came from."""
+"""Merges YAML files into one tree of plain values with their locations."""
 
 from collections.abc import Mapping
 from typing import Any, Final, NamedTuple, TypeAlias
 
 import yaml
 
-from pimentocross.config.findings import Finding, Place
+from pimentocross.config.findings import Finding, SourceLocation
 
 KeyPath: TypeAlias = tuple[str | int, ...]
 
-_DEPTH_MOST: Final = 32
-# The one in C is quicker; both give the same nodes and places.
+_MAX_DEPTH: Final = 32
+# The C loader is faster; both give the same nodes and locations.
 _LOADER: Final = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 
 
 class Tree(NamedTuple):
-    """Merged values, the place of each path, and what was wrong."""
+    """Merged values, the source location of each path, and errors found."""
 
     values: dict[str, Any]
-    places: dict[KeyPath, Place]
+    locations: dict[KeyPath, SourceLocation]
     findings: list[Finding]
 
 
 class _FileReader:
-    """Turns one file's nodes into values and places."""
+    """Converts one file's YAML nodes into values and locations."""
 
     def __init__(self, file: str) -> None:
         self.file = file
-        self.places: dict[KeyPath, Place] = {}
+        self.locations: dict[KeyPath, SourceLocation] = {}
         self.findings: list[Finding] = []
         self._seen: set[int] = set()
         self._constructor = yaml.constructor.SafeConstructor()
 
     def read(self, text: str) -> dict[str, Any]:
-        """Returns the file's values, empty if it can't be read."""
+        """Returns the file's values, empty if they can't be parsed."""
         try:
             node = yaml.compose(text, Loader=_LOADER)
         except (yaml.YAMLError, RecursionError) as error:
             mark = getattr(error, "problem_mark", None)
             problem = getattr(error, "problem", None) or "nested too deeply"
-            self.findings.append(Finding(self._place(mark), problem))
+            self.findings.append(Finding(self._location(mark), problem))
             return {}
         if node is None:
             return {}
         if not isinstance(node, yaml.MappingNode):
-            self._find(node, "expected keys with values")
+            self._add_finding(node, "expected keys with values")
             return {}
         return self._mapping(node, ())
 
-    def _place(self, mark: Any) -> Place:
+    def _location(self, mark: Any) -> SourceLocation:
         if mark is None:
-            return Place(self.file, 1, 1)
-        return Place(self.file, mark.line + 1, mark.column + 1)
+            return SourceLocation(self.file, 1, 1)
+        return SourceLocation(self.file, mark.line + 1, mark.column + 1)
 
-    def _find(self, node: yaml.Node, message: str) -> None:
-        self.findings.append(Finding(self._place(node.start_mark), message))
+    def _add_finding(self, node: yaml.Node, message: str) -> None:
+        self.findings.append(Finding(self._location(node.start_mark), message))
 
     def _value(self, node: yaml.Node, path: KeyPath) -> Any:
-        self.places[path] = self._place(node.start_mark)
-        # An alias is the same node again; following it could be endless.
+        self.locations[path] = self._location(node.start_mark)
+        # An alias is the same node again; following it might never end.
         if id(node) in self._seen:
-            self._find(node, "aliases are not supported")
+            self._add_finding(node, "aliases are not supported")
             return None
         self._seen.add(id(node))
-        if len(path) > _DEPTH_MOST:
-            self._find(node, "nested too deeply")
+        if len(path) > _MAX_DEPTH:
+            self._add_finding(node, "nested too deeply")
             return None
         if isinstance(node, yaml.MappingNode):
             return self._mapping(node, path)
@@ -77,7 +77,7 @@
         try:
             return self._constructor.construct_object(node)
         except (yaml.YAMLError, ValueError) as error:
-            self._find(node, f"not a plain value: {error}")
+            self._add_finding(node, f"not a plain value: {error}")
             return None
 
     def _mapping(self, node: yaml.MappingNode, path: KeyPath) -> dict[str, Any]:
@@ -85,20 +85,20 @@
         for key_node, value_node in node.value:
             key = key_node.value
             if not isinstance(key, str):
-                self._find(key_node, "expected a name as the key")
+                self._add_finding(key_node, "expected a string as the key")
                 continue
             if key in values:
-                self._find(key_node, f"{key!r} is here twice")
+                self._add_finding(key_node, f"duplicate key {key!r}")
                 continue
             values[key] = self._value(value_node, (*path, key))
-            self.places[(*path, key)] = self._place(key_node.start_mark)
+            self.locations[(*path, key)] = self._location(key_node.start_mark)
         return values
 
 
 def read_tree(files: Mapping[str, str]) -> Tree:
     """Merges files in the order of their names.
 
-    A later file's keys go over an earlier one's; a null removes a key.
+    Keys of later files override those of earlier ones; null removes a key.
 
     Args:
         files: Text by file name.
@@ -108,39 +108,39 @@
         reader = _FileReader(name)
         values = reader.read(files[name])
         tree.findings.extend(reader.findings)
-        _merge(tree, values, reader.places, ())
+        _merge(tree, values, reader.locations, ())
     return tree
 
 
 def _merge(
     tree: Tree,
     values: dict[str, Any],
-    places: dict[KeyPath, Place],
+    locations: dict[KeyPath, SourceLocation],
     path: KeyPath,
 ) -> None:
     target = _descend(tree.values, path)
     for key, value in values.items():
-        here = (*path, key)
+        key_path = (*path, key)
         if value is None:
             target.pop(key, None)
             continue
-        tree.places[here] = places[here]
+        tree.locations[key_path] = locations[key_path]
         if isinstance(value, dict):
             if not isinstance(target.get(key), dict):
                 target[key] = {}
-            _merge(tree, value, places, here)
+            _merge(tree, value, locations, key_path)
             continue
         target[key] = value
         if isinstance(value, list):
-            _keep_places_below(tree, places, here)
+            _copy_locations_below(tree, locations, key_path)
 
 
-def _keep_places_below(
-    tree: Tree, places: dict[KeyPath, Place], here: KeyPath
+def _copy_locations_below(
+    tree: Tree, locations: dict[KeyPath, SourceLocation], key_path: KeyPath
 ) -> None:
-    for below, place in places.items():
-        if below[: len(here)] == here:
-            tree.places[below] = place
+    for nested_path, location in locations.items():
+        if nested_path[: len(key_path)] == key_path:
+            tree.locations[nested_path] = location
 
 
 def _descend(values: dict[str, Any], path: KeyPath) -> dict[str, Any]:
--- a/pimentocross/config/units.py
+++ b/pimentocross/config/units.py
@@ -1,4 +1,4 @@
-"""Durations, sizes and rates with their units, as configuration writes them."""
+"""Parses durations, sizes and rates with units in the configuration."""
 
 import re
 from typing import Annotated, Final
@@ -39,7 +39,7 @@
 
 
 def parse_duration(value: object) -> float:
-    """Returns seconds.
+    """Parses a duration such as 250ms and returns seconds.
 
     Raises:
         ValueError: The value is not a number with a unit of time.
@@ -48,7 +48,7 @@
 
 
 def parse_size(value: object) -> int:
-    """Returns bytes.
+    """Parses a size such as 4GB and returns bytes.
 
     Raises:
         ValueError: The value is not a number with a unit of size.
@@ -58,7 +58,7 @@
 
 
 def parse_rate(value: object) -> float:
-    """Returns events a second.
+    """Parses a rate such as 50/s and returns events per second.
 
     Raises:
         ValueError: The value is not a number with a unit of rate.
--- a/pimentocross/entry/answerer.py
+++ b/pimentocross/entry/answerer.py
@@ -168,6 +168,6 @@
                 return HistogramsAnswer(self._reports.histograms())
             case LeaveWorker(worker):
                 owners = self._keeper.owned.values()
-                return Left(any(owner.leave(worker) for owner in owners))
+                return Left(any(owner.drain_worker(worker) for owner in owners))
             case _:
                 return Refused("not a question")
--- a/pimentocross/entry/node.py
+++ b/pimentocross/entry/node.py
@@ -329,7 +329,7 @@
 
     def _leave_worker(self, name: str) -> bool:
         owners = list(self._keeper.owned.values())
-        return any(owner.leave(name) for owner in owners)
+        return any(owner.drain_worker(name) for owner in owners)
 
     def _make_writer_check(self, stream: str) -> Callable[[], bool]:
         def is_writer() -> bool:
--- a/pimentocross/entry/ownership.py
+++ b/pimentocross/entry/ownership.py
@@ -31,7 +31,7 @@
         vms: VmFollower,
         dialer: WorkerDialer,
         retention: float,
-        on_targets: Callable[[], None],
+        on_targets_changed: Callable[[], None],
     ) -> None:
         """Takes what an owner needs; `run` claims and acts."""
         self._log = log
@@ -41,7 +41,7 @@
         self._vms = vms
         self._dialer = dialer
         self._retention = retention
-        self._on_targets = on_targets
+        self._on_targets_changed = on_targets_changed
         self._owned: dict[str, CellOwner] = {}
         self._handing_over = False
         self._looked_at = 0.0
@@ -160,7 +160,7 @@
             self._config,
             self._dialer,
             lambda: self._vms.vms,
-            on_targets=self._on_targets,
+            on_targets_changed=self._on_targets_changed,
         )
         self._owned[cell] = owner
         nursery.start_soon(self._run_owner, owner)
@@ -179,4 +179,4 @@
             nursery.cancel_scope.cancel()
         if self._owned.get(owner.name) is owner:
             del self._owned[owner.name]
-            self._on_targets()
+            self._on_targets_changed()
--- a/pimentocross/vms/worker.py
+++ b/pimentocross/vms/worker.py
@@ -203,7 +203,7 @@
             return []
         # In doubt no lease is granted, and without one nothing may start.
         starts = [] if self._doubtful else list(self._starts.values())
-        return [*starts, *self._commands][: const.COMMANDS_MOST]
+        return [*starts, *self._commands][: const.MAX_COMMANDS_PER_EXCHANGE]
 
     def _build(self, commands: Sequence[Command]) -> Exchange:
         self._sequence += 1
--- a/pimentocross/zones/__init__.py
+++ b/pimentocross/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Availability zones, their cells, and who owns and runs them."""
+"""Cells of availability zones: their state, owners, tasks and placement."""
--- a/pimentocross/zones/cell.py
+++ b/pimentocross/zones/cell.py
@@ -1,4 +1,4 @@
-"""A cell as its owner runs it: jobs, standing tasks and workers."""
+"""Runs a cell as its owner: jobs, services, watches and workers."""
 
 from collections.abc import Callable, Sequence
 
@@ -38,17 +38,19 @@
     WantedTask,
     job_tasks,
     pending_in_order,
-    sync_standing,
+    sync_services_and_watches,
     task_id,
 )
 from pimentocross.zones.views import CellLoad, LoadGauge, Target, find_targets
 from pimentocross.zones.withdrawals import Withdrawals
 
-_CHANGING_HANDS = Verdict(Outcome.NOT_SENT, reason="the cell is changing hands")
+_OWNERSHIP_CHANGING = Verdict(
+    Outcome.NOT_SENT, reason="the cell is changing hands"
+)
 
 
 class CellOwner:
-    """Runs one cell for as long as its ownership stands."""
+    """Runs one cell until this process loses the ownership of it."""
 
     def __init__(
         self,
@@ -60,9 +62,20 @@
         list_vms: Callable[[], list[Vm]],
         *,
         policy: PlacementPolicy | None = None,
-        on_targets: Callable[[], None] = lambda: None,
+        on_targets_changed: Callable[[], None] = lambda: None,
     ) -> None:
-        """Takes the ownership's newest epoch; `run` acts on it."""
+        """Initializes the owner with the newest epoch of its ownership.
+
+        Args:
+            name: The cell's name, which is also its availability zone.
+            authority: Ownerships of this process and their epochs.
+            fold: The cell's stream and its state.
+            config: The configuration stream and its state.
+            dialer: Connects to workers.
+            list_vms: Returns the VMs that the platform lists.
+            policy: Placement policy; None for the configured one.
+            on_targets_changed: Called when `targets` may have changed.
+        """
         self._name = name
         self._resource = cell_resource(name)
         self._authority = authority
@@ -70,17 +83,19 @@
         self._fold = fold
         self._config = config
         self._placer = Placer(policy)
-        self._on_targets = on_targets
+        self._on_targets_changed = on_targets_changed
         self._tasks: dict[str, WantedTask] = {}
         self._opened = False
         self._opened_at = 0.0
         self._gauge = LoadGauge()
         self._stopped = False
         self._attempts = 0
-        self._woken = trio.Event()
+        self._wake_event = trio.Event()
         self._nursery: trio.Nursery | None = None
         self._config_version = -1
-        self._withdrawals = Withdrawals(lambda: config.state.config, on_targets)
+        self._withdrawals = Withdrawals(
+            lambda: config.state.config, on_targets_changed
+        )
         self._recorder = CellRecorder(
             self._resource, authority, fold, self._tasks, self._wake
         )
@@ -102,17 +117,17 @@
 
     @property
     def epoch(self) -> int:
-        """Epoch of this ownership."""
+        """Epoch (fencing token) of this ownership."""
         return self._epoch
 
     @property
     def opened(self) -> bool:
-        """True once records of earlier owners are rejected."""
+        """True once the stream rejects records of earlier owners."""
         return self._opened
 
     @property
     def fold(self) -> StreamFold[CellState]:
-        """The fold of the cell's stream."""
+        """The cell's stream and the state folded from it."""
         return self._fold
 
     @property
@@ -121,21 +136,21 @@
         return self._roster.workers
 
     def explain_worker(self, worker: str) -> str:
-        """Returns why a worker gets no batch tasks, or ""."""
+        """Returns why a worker is given no batch tasks, or ""."""
         return self._placer.explain(worker)
 
     @property
     def tasks(self) -> dict[str, WantedTask]:
-        """Wanted tasks by id."""
+        """Tasks that should run or are ending, by id."""
         return self._tasks
 
     async def run(self) -> None:
-        """Acts until the ownership is superseded or `stop` is called."""
+        """Runs the cell until it has a newer owner or `stop` is called."""
         async with trio.open_nursery() as nursery:
             self._nursery = self._recorder.nursery = nursery
             self._withdrawals.nursery = nursery
             if await self._open():
-                nursery.start_soon(self._roster.follow)
+                nursery.start_soon(self._roster.follow_vm_list)
                 nursery.start_soon(self._follow_records)
                 nursery.start_soon(
                     rebalance,
@@ -146,19 +161,19 @@
                     self.evict,
                 )
                 await self._place_while_owner()
-            self._end()
+            self._stop_acting()
             nursery.cancel_scope.cancel()
 
     def stop(self) -> None:
-        """Stops acting at once; what runs goes on under its leases."""
-        self._end()
+        """Stops acting at once; running tasks continue under their leases."""
+        self._stop_acting()
 
     def load(self) -> CellLoad:
-        """Returns how full the cell was a moment ago."""
+        """Returns the cell's load, at most `LOAD_INTERVAL` seconds old."""
         return self._gauge.read(self._tasks, self._roster.workers)
 
     def targets(self) -> list[Target]:
-        """Returns where services answer, without leaving workers."""
+        """Returns the running service replicas, except on leaving workers."""
         return find_targets(
             self._name,
             self._tasks.values(),
@@ -175,9 +190,13 @@
         input_text: str,
         timeout: float,
     ) -> Verdict:
-        """Accepts a job once its record was read back; idempotent by id."""
+        """Accepts a job; repeated calls with one id accept it once.
+
+        Returns:
+            The outcome; accepted once the job's record has been read back.
+        """
         if self._stopped or not self._opened:
-            return _CHANGING_HANDS
+            return _OWNERSHIP_CHANGING
         config = self._config.state.config
         batch = config.batch.get(class_name) if config else None
         if config is None or batch is None:
@@ -194,16 +213,20 @@
         )
 
     async def cancel(self, job: str, timeout: float) -> Verdict:
-        """Cancels a job that has not ended."""
+        """Cancels a job; a job that has ended is rejected."""
         if self._stopped or not self._opened:
-            return _CHANGING_HANDS
+            return _OWNERSHIP_CHANGING
         record = JobCancelled(self._epoch, job)
         return await self._fold.publish(
             KINDS.encode(record), timeout=timeout, fail_fast=True
         )
 
-    def leave(self, worker: str) -> bool:
-        """Empties a worker: nothing new, and what runs moves on."""
+    def drain_worker(self, worker: str) -> bool:
+        """Drains a worker: starts nothing new on it and moves its tasks away.
+
+        Returns:
+            False if the cell has no such worker.
+        """
         found = self._roster.workers.get(worker)
         if found is None:
             return False
@@ -212,7 +235,7 @@
         return True
 
     def evict(self, task: WantedTask, reason: str) -> None:
-        """Stops a running task; it resumes from its checkpoint."""
+        """Evicts a running task: withdraws a replica, checkpoints others."""
         worker = self._roster.workers.get(task.worker)
         if worker is None or task.phase is not TaskPhase.RUNNING:
             return
@@ -223,10 +246,10 @@
         else:
             worker.stop(task.task, task.attempt, checkpoint=True)
 
-    # What the workers tell.
+    # Events of the workers.
 
     def on_report(self, worker: Worker, report: TaskReport) -> None:
-        """Takes in that a task changed on a worker."""
+        """Handles a report that a task's state changed on a worker."""
         self._placer.count_classes(worker, self._tasks)
         if report.state is TaskState.RUNNING:
             self._on_running(worker, report)
@@ -237,7 +260,7 @@
         self._wake()
 
     def on_not_started(self, worker: Worker, spec: TaskSpec) -> None:
-        """Takes in that a start did not lead to a running task."""
+        """Queues a task again whose start led to no running task."""
         self._placer.note_lost(worker.name)
         task = self._tasks.get(spec.task)
         if task is not None and task.attempt == spec.attempt:
@@ -246,7 +269,7 @@
         self._wake()
 
     def on_lapsed(self, worker: Worker) -> None:
-        """Takes in that all leases of a worker have lapsed."""
+        """Queues a worker's tasks again once all its leases have lapsed."""
         now = trio.current_time()
         self._placer.note_lost(worker.name)
         for task in self._tasks.values():
@@ -256,19 +279,19 @@
             ):
                 task.requeue(now, f"lease on {worker.name} lapsed")
         self._wake()
-        self._on_targets()
+        self._on_targets_changed()
 
     def on_usage(self, worker: Worker, usage: Sequence[Usage]) -> None:
-        """Takes in what a worker's tasks were seen to use."""
+        """Passes the measured usage of a worker's tasks to placement."""
         self._placer.learn(worker, usage)
 
     def on_change(self, worker: Worker) -> None:
-        """Takes in that a worker's health or address changed."""
+        """Handles a change of a worker's health, capacity or address."""
         if worker.leaving:
-            self._empty(worker)
+            self._evict_all(worker)
         self._placer.count_classes(worker, self._tasks)
         self._wake()
-        self._on_targets()
+        self._on_targets_changed()
 
     def _on_running(self, worker: Worker, report: TaskReport) -> None:
         spec = report.spec
@@ -285,7 +308,7 @@
         task.phase = TaskPhase.RUNNING
         task.reason = f"runs on {worker.name}"
         if changed and task.kind is TaskKind.SERVICE:
-            self._on_targets()
+            self._on_targets_changed()
 
     def _on_ended(self, worker: Worker, report: TaskReport) -> None:
         spec = report.spec
@@ -297,8 +320,9 @@
                 task.not_before = trio.current_time() + const.FAILURE_BACKOFF
             return
         if task.may_be_on(worker.name, spec.attempt):
-            # Also one that an earlier owner started and that ended meanwhile:
-            # left pending, it would be run again before its end is recorded.
+            # This includes tasks that an earlier owner started and that ended
+            # before this owner met the worker: left pending, such a task
+            # would run again before its end is recorded.
             task.worker = worker.name
             task.attempt = spec.attempt
             task.phase = TaskPhase.ENDING
@@ -311,12 +335,12 @@
         spec = report.spec
         self._placer.note_lost(worker.name)
         task = self._tasks.get(spec.task)
-        held = (
+        is_current_attempt = (
             task is not None
             and task.worker == worker.name
             and task.attempt == spec.attempt
         )
-        if task is None or not held:
+        if task is None or not is_current_attempt:
             worker.forget(spec.task, spec.attempt)
             return
         task.checkpoint = report.checkpoint or task.checkpoint
@@ -326,34 +350,40 @@
         else:
             worker.forget(spec.task, spec.attempt)
 
-    # What the owner does by itself.
+    # Work that the owner starts itself.
 
     async def _open(self) -> bool:
-        """Makes earlier owners' records void; False if superseded."""
-        verdict = await self._recorder.settle(CellOpened(self._epoch))
+        """Opens the cell so that records of earlier owners are rejected.
+
+        Returns:
+            False if a newer owner has taken the cell over.
+        """
+        verdict = await self._recorder.publish_until_decided(
+            CellOpened(self._epoch)
+        )
         if verdict is None:
             return False
         self._opened = True
         self._opened_at = trio.current_time()
-        self._fold.state.take_touched()
+        self._fold.state.take_changed_jobs()
         self._roster.sync()
         self._sync_tasks(list(self._fold.state.jobs))
         return True
 
-    def _end(self) -> None:
+    def _stop_acting(self) -> None:
         self._stopped = self._recorder.stopped = True
         for worker in self._roster.workers.values():
             worker.end()
         self._wake()
 
     def _wake(self) -> None:
-        self._woken.set()
+        self._wake_event.set()
 
     async def _follow_records(self) -> None:
         while True:
-            touched = self._fold.state.take_touched()
-            if touched:
-                self._sync_tasks(touched)
+            changed_jobs = self._fold.state.take_changed_jobs()
+            if changed_jobs:
+                self._sync_tasks(changed_jobs)
                 self._wake()
             await self._fold.wait_change()
 
@@ -364,7 +394,9 @@
         now = trio.current_time()
         if self._config_version != self._config.state.version:
             self._config_version = self._config.state.version
-            for task in sync_standing(self._tasks, config, self._name, now):
+            for task in sync_services_and_watches(
+                self._tasks, config, self._name, now
+            ):
                 self._drop(task)
             jobs = list(self._fold.state.jobs)
         for name in jobs:
@@ -377,8 +409,8 @@
 
     def _drop_job(self, name: str) -> None:
         job = self._fold.state.jobs.get(name)
-        width = job.accepted.tasks if job is not None else 0
-        names = (task_id(name, index) for index in range(width))
+        task_count = job.accepted.tasks if job is not None else 0
+        names = (task_id(name, index) for index in range(task_count))
         for task in [self._tasks[n] for n in names if n in self._tasks]:
             self._drop(task)
 
@@ -394,21 +426,21 @@
         else:
             worker.stop(spec.task, spec.attempt, checkpoint=False)
 
-    def _empty(self, worker: Worker) -> None:
+    def _evict_all(self, worker: Worker) -> None:
         for task in list(self._tasks.values()):
             if task.worker == worker.name:
                 self.evict(task, f"{worker.name} is leaving")
 
     async def _place_while_owner(self) -> None:
         while not self._stopped and self._authority.owns(self._resource):
-            self._woken = trio.Event()
+            self._wake_event = trio.Event()
             if self._config_version != self._config.state.version:
                 self._sync_tasks([])
             if self._authority.may_act(self._resource):
                 self._place_pending()
             with trio.move_on_after(const.PLACEMENT_INTERVAL):
-                await self._woken.wait()
-            await trio.sleep(const.PLACEMENT_SPACING)
+                await self._wake_event.wait()
+            await trio.sleep(const.MIN_PLACEMENT_PAUSE)
 
     def _place_pending(self) -> None:
         now = trio.current_time()
@@ -424,11 +456,13 @@
     def _may_start(self, task: WantedTask, now: float) -> bool:
         if now >= self._authority.takeover_done_at(self._resource):
             return True
-        unmet = self._roster.unmet()
-        patience = self._opened_at + const.MEETING_PATIENCE
-        if not unmet or (not is_exclusive(task.kind) and now >= patience):
+        uncontacted = self._roster.uncontacted()
+        contact_deadline = self._opened_at + const.FIRST_CONTACT_TIMEOUT
+        if not uncontacted or (
+            not is_exclusive(task.kind) and now >= contact_deadline
+        ):
             return True
-        task.reason = f"may still run on {', '.join(unmet)}"
+        task.reason = f"may still run on {', '.join(uncontacted)}"
         return False
 
     def _place(self, task: WantedTask) -> bool:
--- a/pimentocross/zones/cell_records.py
+++ b/pimentocross/zones/cell_records.py
@@ -1,4 +1,4 @@
-"""Publishes a cell's records until every reader has judged them."""
+"""Publishes a cell's records until they are accepted or rejected."""
 
 from collections.abc import Callable
 
@@ -22,11 +22,11 @@
 
 
 class CellRecorder:
-    """Records what an owner sees, for as long as its ownership stands.
+    """Records events of a cell while this process owns it.
 
     Attributes:
-        stopped: Set once the owner acts no more.
-        nursery: Where publishing goes on beside the owner, once it runs.
+        stopped: Set once the owner has stopped acting.
+        nursery: Runs the publishing tasks; None until the owner runs.
     """
 
     def __init__(
@@ -37,7 +37,15 @@
         tasks: dict[str, WantedTask],
         wake: Callable[[], None],
     ) -> None:
-        """Takes the ownership's newest epoch, the tasks and who to wake."""
+        """Initializes the recorder with the ownership's newest epoch.
+
+        Args:
+            resource: Name of the cell as an owned resource.
+            authority: Ownerships of this process and their epochs.
+            fold: The cell's stream and its state.
+            tasks: Tasks of the cell by id; finished ones are removed.
+            wake: Called when a task may be placed again.
+        """
         self.stopped = False
         self.nursery: trio.Nursery | None = None
         self._resource = resource
@@ -48,13 +56,17 @@
         self._wake = wake
         self._recording: set[tuple[str, Attempt]] = set()
 
-    async def settle(
+    async def publish_until_decided(
         self, record: CellRecord, *, urgent: bool = True
     ) -> Verdict | None:
-        """Publishes until every reader has judged the record.
+        """Publishes a record until it is accepted or rejected.
+
+        Args:
+            record: The record.
+            urgent: Whether it is appended at once, or may be batched.
 
         Returns:
-            None if the ownership ended first.
+            The verdict, or None if the ownership ended first.
         """
         body = self._fold.new_body(KINDS.encode(record))
         while not self.stopped and self._authority.owns(self._resource):
@@ -62,7 +74,8 @@
                 body, timeout=const.PUBLISH_TIMEOUT, urgent=urgent
             )
             if self._fold.state.epoch > self._epoch:
-                # Superseded, though the claim may not have been read yet.
+                # A newer owner has opened the cell, although its claim may not
+                # have been read here yet.
                 return None
             if verdict.outcome in (Outcome.ACCEPTED, Outcome.REJECTED):
                 return verdict
@@ -71,7 +84,11 @@
     def record_end(
         self, worker: Worker, task: WantedTask, report: TaskReport
     ) -> bool:
-        """Records a batch task's end; False if that is under way."""
+        """Starts to record a batch task's end.
+
+        Returns:
+            False if it is being recorded already or the owner is not running.
+        """
         attempt = report.spec.attempt
         if (task.task, attempt) in self._recording or self.nursery is None:
             return False
@@ -82,7 +99,7 @@
             task.index,
             attempt,
             report.state is TaskState.FINISHED,
-            report.result[: const.RESULT_MOST],
+            report.result[: const.MAX_RESULT_CHARS],
             worker.name,
         )
         self.nursery.start_soon(self._publish_end, worker, task, record)
@@ -91,7 +108,7 @@
     def record_eviction(
         self, worker: Worker, task: WantedTask, report: TaskReport
     ) -> None:
-        """Records the checkpoint of a task that was moved off a worker."""
+        """Starts to record the checkpoint of a task evicted from a worker."""
         if self.nursery is None:
             return
         record = TaskEvicted(
@@ -104,36 +121,41 @@
         self.nursery.start_soon(self._publish_eviction, worker, task, record)
 
     async def record_worker(self, name: str, address: str) -> bool:
-        """Records that a worker is of the cell; True once it is."""
+        """Records that a worker belongs to the cell.
+
+        Returns:
+            True once the record is accepted; False if it is not, or if it is
+            being recorded already.
+        """
         if (name, Attempt(0, 0)) in self._recording:
             return False
         self._recording.add((name, Attempt(0, 0)))
         record = WorkerRostered(self._epoch, name, address)
-        verdict = await self.settle(record)
+        verdict = await self.publish_until_decided(record)
         self._recording.discard((name, Attempt(0, 0)))
         return verdict is not None and verdict.accepted
 
     async def _publish_end(
         self, worker: Worker, task: WantedTask, record: TaskEnded
     ) -> None:
-        # The worker keeps the end until it is recorded, so it can wait.
-        verdict = await self.settle(record, urgent=False)
+        # Not urgent: the worker keeps the end until it is told to forget it.
+        verdict = await self.publish_until_decided(record, urgent=False)
         self._recording.discard((task.task, record.attempt))
         if verdict is None:
             return
         worker.forget(task.task, record.attempt)
-        wanted = self._tasks.get(task.task)
-        if wanted is not None and wanted.phase is TaskPhase.ENDING:
+        current = self._tasks.get(task.task)
+        if current is not None and current.phase is TaskPhase.ENDING:
             if record.finished:
                 del self._tasks[task.task]
             else:
-                _retry_failed(wanted, record)
+                _retry_failed(current, record)
         self._wake()
 
     async def _publish_eviction(
         self, worker: Worker, task: WantedTask, record: TaskEvicted
     ) -> None:
-        await self.settle(record, urgent=False)
+        await self.publish_until_decided(record, urgent=False)
         worker.forget(task.task, record.attempt)
 
 
--- a/pimentocross/zones/cell_roster.py
+++ b/pimentocross/zones/cell_roster.py
@@ -1,4 +1,4 @@
-"""Which workers are of a cell: those recorded, and listed newcomers."""
+"""The workers of a cell: recorded ones, and new ones on the VM list."""
 
 from collections.abc import Callable
 
@@ -15,7 +15,11 @@
 
 
 class CellRoster:
-    """Workers by name; each runs in the owner's nursery."""
+    """Keeps a connection to each worker of a cell.
+
+    Attributes:
+        workers: Workers by name; each runs in the owner's nursery.
+    """
 
     def __init__(
         self,
@@ -28,7 +32,18 @@
         recorder: CellRecorder,
         events: WorkerEvents,
     ) -> None:
-        """Takes where workers are listed, and who hears of them."""
+        """Initializes the roster without workers.
+
+        Args:
+            zone: Availability zone, which is also the cell's name.
+            epoch: Epoch of the ownership.
+            authority: Ownerships of this process and their epochs.
+            fold: The cell's stream and its state.
+            dialer: Connects to workers.
+            list_vms: Returns the VMs that the platform lists.
+            recorder: Records new workers.
+            events: Receives the workers' events.
+        """
         self.workers: dict[str, Worker] = {}
         self._zone = zone
         self._epoch = epoch
@@ -39,18 +54,18 @@
         self._recorder = recorder
         self._events = events
 
-    def unmet(self) -> list[str]:
-        """Returns the workers that have never answered."""
+    def uncontacted(self) -> list[str]:
+        """Returns the workers that have not answered under this ownership."""
         return [w.name for w in self.workers.values() if not w.ever_met]
 
-    async def follow(self) -> None:
-        """Follows the VM list for ever."""
+    async def follow_vm_list(self) -> None:
+        """Updates the workers from the VM list until cancelled."""
         while True:
             self.sync()
             await trio.sleep(const.VM_LIST_INTERVAL)
 
     def sync(self) -> None:
-        """Takes in newcomers, and who is leaving."""
+        """Adds new workers and marks those that are leaving."""
         nursery = self._recorder.nursery
         listed = {
             vm.name: vm
--- a/pimentocross/zones/cell_state.py
+++ b/pimentocross/zones/cell_state.py
@@ -1,4 +1,4 @@
-"""Jobs and workers of one cell, folded from the cell's stream."""
+"""Records of a cell's stream, and the jobs and workers folded from them."""
 
 from typing import NamedTuple
 
@@ -7,17 +7,17 @@
 from pimentocross.backing.log import RecordBody
 from pimentocross.backing.workers import Attempt
 from pimentocross.contracts.records import RecordKinds
-from pimentocross.zones.const import ENDED_JOBS_KEPT
+from pimentocross.zones.const import MAX_ENDED_JOBS
 
 
 class CellOpened(NamedTuple):
-    """An owner begins; records of lower epochs are rejected from here on."""
+    """A new owner opens the cell; records of lower epochs are now rejected."""
 
     epoch: int
 
 
 class JobAccepted(NamedTuple):
-    """A job is accepted: from here on it will end exactly once."""
+    """A job is accepted; it ends exactly once."""
 
     epoch: int
     job: str
@@ -29,7 +29,7 @@
 
 
 class TaskEnded(NamedTuple):
-    """A try at a task has finished or failed on a worker."""
+    """An attempt at a task finished or failed on a worker."""
 
     epoch: int
     job: str
@@ -41,7 +41,7 @@
 
 
 class TaskEvicted(NamedTuple):
-    """A task was stopped for others and resumes from its checkpoint."""
+    """A task was evicted and resumes from its checkpoint."""
 
     epoch: int
     job: str
@@ -51,14 +51,14 @@
 
 
 class JobCancelled(NamedTuple):
-    """A job is to end without finishing."""
+    """A job is cancelled and ends without finishing."""
 
     epoch: int
     job: str
 
 
 class WorkerRostered(NamedTuple):
-    """Tasks may be started on a worker from here on."""
+    """A worker joins the cell; from this record on, tasks may start on it."""
 
     epoch: int
     worker: str
@@ -66,7 +66,7 @@
 
 
 class WorkerDropped(NamedTuple):
-    """A worker holds nothing any more and may be forgotten."""
+    """A worker holds no tasks any more and leaves the cell."""
 
     epoch: int
     worker: str
@@ -96,17 +96,17 @@
 
 
 class Job(NamedTuple):
-    """A job as folded.
+    """A job's state, folded from the records of the cell.
 
     Attributes:
-        accepted: As it was accepted.
+        accepted: The record that accepted the job.
         state: "accepted", "finished", "failed" or "cancelled".
         open: Indexes of tasks that have not finished.
         results: Results of finished tasks by index.
-        failures: Failed tries of open tasks by index.
-        failed_on: Workers on which tries failed.
+        failures: Failed attempts of open tasks by index.
+        failed_on: Workers on which attempts failed.
         checkpoints: Checkpoints of evicted tasks by index.
-        reason: Why it failed, or "".
+        reason: Why the job failed, or "".
     """
 
     accepted: JobAccepted
@@ -120,7 +120,7 @@
 
     @property
     def ended(self) -> bool:
-        """True once nothing of it will run again."""
+        """True once the job is finished, failed or cancelled."""
         return self.state != "accepted"
 
 
@@ -131,15 +131,15 @@
 
 
 class CellState:
-    """What was accepted and ended in a cell, and which workers it uses."""
+    """Jobs and workers of a cell, folded from its stream."""
 
     def __init__(self) -> None:
-        """Starts empty."""
+        """Initializes a state without jobs and workers, at epoch 0."""
         self._epoch = 0
         self._jobs: dict[str, Job] = {}
         self._ended: dict[str, None] = {}
         self._roster: dict[str, str] = {}
-        self._touched: set[str] = set()
+        self._changed_jobs: set[str] = set()
 
     @property
     def epoch(self) -> int:
@@ -153,7 +153,7 @@
 
     @property
     def open_jobs(self) -> int:
-        """How many jobs have not ended."""
+        """Number of jobs that have not ended."""
         return len(self._jobs) - len(self._ended)
 
     @property
@@ -161,13 +161,13 @@
         """Addresses of the workers that may hold tasks, by name."""
         return self._roster
 
-    def take_touched(self) -> set[str]:
-        """Returns the jobs changed since the last call."""
-        touched, self._touched = self._touched, set()
-        return touched
+    def take_changed_jobs(self) -> set[str]:
+        """Returns and clears the ids of jobs changed since the last call."""
+        changed_jobs, self._changed_jobs = self._changed_jobs, set()
+        return changed_jobs
 
     def apply(self, offset: int, body: RecordBody) -> str | None:
-        """Folds one record; returns why it is rejected, or None."""
+        """Applies one record; returns why it is rejected, or None."""
         record = KINDS.decode(body)
         if record is None:
             return "unknown record"
@@ -199,14 +199,14 @@
         }
 
     def load(self, dump: RecordBody) -> None:
-        """Replaces the state by a dumped one."""
+        """Replaces the state with a dumped one."""
         parts = [dump[name] for name in _Dump._fields]
         loaded = msgspec.convert(parts, _Dump, strict=False)
         self._epoch = loaded.epoch
         self._jobs = {job.accepted.job: job for job in loaded.jobs}
         self._ended = {i: None for i, job in self._jobs.items() if job.ended}
         self._roster = loaded.roster
-        self._touched = set(self._jobs)
+        self._changed_jobs = set(self._jobs)
 
     def _apply_opened(self, opened: CellOpened) -> str | None:
         if opened.epoch <= self._epoch:
@@ -266,11 +266,11 @@
     def _put(self, job: Job) -> None:
         name = job.accepted.job
         self._jobs[name] = job
-        self._touched.add(name)
+        self._changed_jobs.add(name)
         if not job.ended:
             return
         self._ended[name] = None
-        while len(self._ended) > ENDED_JOBS_KEPT:
+        while len(self._ended) > MAX_ENDED_JOBS:
             oldest = next(iter(self._ended))
             del self._ended[oldest]
             del self._jobs[oldest]
--- a/pimentocross/zones/placer.py
+++ b/pimentocross/zones/placer.py
@@ -1,4 +1,4 @@
-"""Where a cell's tasks go: the decisions, fed with what the owner sees."""
+"""Chooses workers for a cell's tasks from measured usage and failures."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from typing import NamedTuple
@@ -30,8 +30,15 @@
 from pimentocross.zones.tasks import WantedTask
 
 
-class View(NamedTuple):
-    """A worker as placement sees it."""
+class WorkerView(NamedTuple):
+    """A worker's capacity and tasks, as the placement policy gets them.
+
+    Attributes:
+        name: Name of the worker.
+        free: Resources that no task has reserved.
+        capacity: Resources for tasks in total.
+        classes: Number of tasks by class name.
+    """
 
     name: str
     free: Resources
@@ -40,11 +47,15 @@
 
 
 class Placer:
-    """Chooses workers for the tasks of one cell, and learns from usage."""
+    """Places the tasks of one cell and learns from their usage."""
 
     def __init__(self, policy: PlacementPolicy | None = None) -> None:
-        """Takes a policy, or makes the one that the configuration asks for."""
-        self._fixed = policy
+        """Initializes the placer.
+
+        Args:
+            policy: Placement policy; None for the configured one.
+        """
+        self._fixed_policy = policy
         self._interference = Interference()
         self._quarantine = Quarantine()
         self._sizes = ObservedSizes()
@@ -57,20 +68,20 @@
         workers: Iterable[Worker],
         config: Configuration | None,
     ) -> Choice:
-        """Returns a worker for a task, or why there is none."""
+        """Returns the worker chosen for a task, or why there is none."""
         usable = _usable(workers)
         if task.kind is TaskKind.BATCH:
             now = trio.current_time()
             admits = self._quarantine.admits
             usable = [w for w in usable if admits(w.name, now)]
-        # A task that failed on a worker tries others first.
-        fresh = [w for w in usable if w.name not in task.avoid]
-        views = self._views(fresh or usable)
+        # Workers where the task failed are chosen only if no other is usable.
+        untried = [w for w in usable if w.name not in task.avoid]
+        views = self._views(untried or usable)
         if config is not None:
             task.size = self._sizes.correct(
                 task.class_name, task.declared, config.workers.resources
             )
-        return self._policy(config).choose(_wanted(task), views)
+        return self._policy(config).choose(_to_request(task), views)
 
     def choose_move(
         self,
@@ -78,19 +89,19 @@
         workers: Iterable[Worker],
         config: Configuration | None,
     ) -> Move | None:
-        """Returns a replica that would do better elsewhere, if there is one."""
+        """Returns a move of a replica to a better worker, or None."""
         policy = self._policy(config)
         if not isinstance(policy, WeightedPolicy):
             return None
         placed = [
-            PlacedReplica(_wanted(task), task.worker)
+            PlacedReplica(_to_request(task), task.worker)
             for task in tasks
             if task.kind is TaskKind.SERVICE
         ]
         return choose_move(placed, self._views(_usable(workers)), policy)
 
     def note_started(self, task: WantedTask, worker: Worker) -> None:
-        """Notes that a task is sent to a worker."""
+        """Records that a task is being started on a worker."""
         if task.kind is TaskKind.BATCH:
             self._quarantine.note_started(worker.name)
         counts = self._classes.setdefault(worker.name, {})
@@ -98,20 +109,20 @@
         self._note_history(worker, counts)
 
     def note_ended(self, worker: str, job: str, *, finished: bool) -> None:
-        """Notes how a try at a batch task ended."""
+        """Records how an attempt at a batch task ended."""
         if finished:
             self._quarantine.note_finished(worker)
         else:
             self._quarantine.note_failed(worker, job, trio.current_time())
 
     def note_lost(self, worker: str) -> None:
-        """Notes that a try ended without saying anything of the worker."""
+        """Records that an attempt ended for no fault of the worker."""
         self._quarantine.note_lost(worker)
 
     def count_classes(
         self, worker: Worker, tasks: Mapping[str, WantedTask]
     ) -> None:
-        """Counts anew what a worker holds."""
+        """Recounts the tasks that a worker holds, by class."""
         counts: dict[str, int] = {}
         for name in worker.commitments.tasks:
             task = tasks.get(name)
@@ -121,38 +132,40 @@
         self._note_history(worker, counts)
 
     def learn(self, worker: Worker, usage: Sequence[Usage]) -> None:
-        """Takes usage in, attributed to what ran when it was measured."""
+        """Learns from usage and the tasks that ran beside it when measured."""
         history = self._history.get(worker.name)
         if history is None:
             return
         now = trio.current_time()
-        for seen in usage:
-            self._sizes.note(seen.class_name, seen.processors, seen.memory)
-            then = history.at(seen.measured_at)
-            if then is None:
+        for sample in usage:
+            self._sizes.note(
+                sample.class_name, sample.processors, sample.memory
+            )
+            neighbours = history.at(sample.measured_at)
+            if neighbours is None:
                 continue
             self._interference.learn(
-                seen.class_name,
-                others(then.classes, seen.class_name),
-                then.band,
-                max(seen.slowdown - 1.0, 0.0),
+                sample.class_name,
+                others(neighbours.classes, sample.class_name),
+                neighbours.band,
+                max(sample.slowdown - 1.0, 0.0),
                 now,
             )
 
     def explain(self, worker: str) -> str:
-        """Returns why a worker gets no batch tasks, or ""."""
+        """Returns why a worker is given no batch tasks, or ""."""
         return self._quarantine.explain(worker, trio.current_time())
 
     def _policy(self, config: Configuration | None) -> PlacementPolicy:
-        if self._fixed is not None:
-            return self._fixed
+        if self._fixed_policy is not None:
+            return self._fixed_policy
         if config is None:
             return LeastLoaded()
         return make_weighted_policy(self._interference, config)
 
-    def _views(self, workers: Sequence[Worker]) -> list[View]:
+    def _views(self, workers: Sequence[Worker]) -> list[WorkerView]:
         return [
-            View(
+            WorkerView(
                 w.name,
                 w.commitments.free,
                 w.commitments.capacity,
@@ -174,5 +187,5 @@
     return [w for w in workers if w.met and not w.leaving]
 
 
-def _wanted(task: WantedTask) -> PlacementRequest:
+def _to_request(task: WantedTask) -> PlacementRequest:
     return PlacementRequest(task.task, task.kind, task.class_name, task.size)
--- a/pimentocross/zones/rebalancing.py
+++ b/pimentocross/zones/rebalancing.py
@@ -1,4 +1,4 @@
-"""Moves replicas, one at a time, away from what slows them."""
+"""Moves service replicas, one at a time, to workers with lower cost."""
 
 from collections.abc import Callable, Mapping
 
@@ -19,7 +19,17 @@
     config: Callable[[], Configuration | None],
     evict: Callable[[WantedTask, str], None],
 ) -> None:
-    """Moves a replica now and then, while none is on its way, for ever."""
+    """Moves at most one replica per interval, until cancelled.
+
+    Nothing moves while a replica is not running, such as one being moved.
+
+    Args:
+        tasks: Tasks of the cell by id.
+        workers: Workers of the cell by name.
+        placer: Chooses the move.
+        config: Returns the configuration, or None if there is none.
+        evict: Evicts a task for the given reason; it is then placed again.
+    """
     while True:
         await trio.sleep(MOVE_INTERVAL_SECONDS)
         settled = all(
@@ -31,5 +41,5 @@
             continue
         move = placer.choose_move(tasks.values(), workers.values(), config())
         if move is not None:
-            gain = f"moves to {move.to}, cost falls by {move.gain:.2f}"
-            evict(tasks[move.task], gain)
+            reason = f"moves to {move.to}, cost falls by {move.gain:.2f}"
+            evict(tasks[move.task], reason)
--- a/pimentocross/zones/tasks.py
+++ b/pimentocross/zones/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that a cell's owner wants to run, and where they stand."""
+"""Tasks that a cell's owner has to run, and their phases."""
 
 from collections.abc import Iterable, Iterator
 from enum import StrEnum
@@ -15,7 +15,7 @@
 
 
 class TaskPhase(StrEnum):
-    """Where a wanted task stands."""
+    """Phase of a task that should run."""
 
     PENDING = "pending"
     STARTING = "starting"
@@ -28,15 +28,15 @@
     """One task that should run, or whose end is being recorded.
 
     Attributes:
-        phase: Where it stands.
-        worker: Name of the worker that holds it, or "".
-        attempt: The newest try.
-        not_before: Earliest time of the next try.
-        queued_at: When it became pending.
-        reason: Why it stands where it does, for operators.
-        checkpoint: Where the next try resumes, or "".
-        avoid: Workers on which it failed.
-        size: What is committed for it: as declared, or as observed.
+        phase: Phase of the task.
+        worker: Name of the worker that holds the task, or "".
+        attempt: The newest attempt.
+        not_before: Earliest time of the next attempt.
+        queued_at: When the task became pending.
+        reason: Why the task is in its phase, for operators.
+        checkpoint: Where the next attempt resumes, or "".
+        avoid: Workers on which the task failed.
+        size: Resources to reserve: as declared, or as observed.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         urgent: bool = False,
         queued_at: float = 0.0,
     ) -> None:
-        """Starts pending."""
+        """Initializes a pending task with the size that its class declares."""
         self.phase = TaskPhase.PENDING
         self.worker = ""
         self.attempt = Attempt(0, 0)
@@ -75,46 +75,46 @@
 
     @property
     def task(self) -> str:
-        """Its id."""
+        """The task's id."""
         return self._task
 
     @property
     def kind(self) -> TaskKind:
-        """What it is part of."""
+        """Whether the task belongs to a service, a job or a watch."""
         return self._kind
 
     @property
     def class_name(self) -> str:
-        """Its service, batch class or watch."""
+        """Name of the task's service, batch class or watch."""
         return self._class_name
 
     @property
     def tenant(self) -> str:
-        """Whose it is."""
+        """The tenant that the task belongs to."""
         return self._tenant
 
     @property
     def declared(self) -> Resources:
-        """What its class declares."""
+        """Resources that the task's class declares."""
         return self._declared
 
     @property
     def job(self) -> str:
-        """Its job, or ""."""
+        """Id of the task's job, or "" for services and watches."""
         return self._job
 
     @property
     def index(self) -> int:
-        """Its index in the job."""
+        """The task's index in its job."""
         return self._index
 
     @property
     def urgent(self) -> bool:
-        """True if it goes before other batch tasks."""
+        """True if the task is started before other batch tasks."""
         return self._urgent
 
     def spec(self) -> TaskSpec:
-        """Returns what a worker is told."""
+        """Returns the specification that is sent to a worker."""
         return TaskSpec(
             self._task,
             self.attempt,
@@ -127,13 +127,13 @@
         )
 
     def may_be_on(self, worker: str, attempt: Attempt) -> bool:
-        """True if a worker may hold it under an attempt."""
+        """Returns True if a worker may hold the task under an attempt."""
         if self.phase is TaskPhase.PENDING:
             return attempt >= self.attempt
         return self.worker == worker and self.attempt == attempt
 
     def requeue(self, now: float, reason: str) -> None:
-        """Makes it pending again."""
+        """Makes the task pending again."""
         self.phase = TaskPhase.PENDING
         self.worker = ""
         self.queued_at = now
@@ -145,10 +145,10 @@
     return f"{job}/{index}"
 
 
-def standing_tasks(
+def service_and_watch_tasks(
     config: Configuration, cell: str, now: float
 ) -> dict[str, WantedTask]:
-    """Returns the services' and watches' tasks that a cell has to run."""
+    """Returns the tasks of services and watches that a cell has to run."""
     tasks: dict[str, WantedTask] = {}
     for name, service in config.services.items():
         for i in range(replicas_of(config, name, cell)):
@@ -178,12 +178,12 @@
 
 
 def replicas_of(config: Configuration, service: str, cell: str) -> int:
-    """Returns a cell's share of a service's replicas."""
+    """Returns a cell's share of a service's replicas, spread over all zones."""
     cells = sorted(config.zones)
     if cell not in cells:
         return 0
-    share, rest = divmod(config.services[service].replicas, len(cells))
-    return share + (cells.index(cell) < rest)
+    share, remainder = divmod(config.services[service].replicas, len(cells))
+    return share + (cells.index(cell) < remainder)
 
 
 def job_tasks(
@@ -215,29 +215,34 @@
     return tasks
 
 
-def sync_standing(
+def sync_services_and_watches(
     tasks: dict[str, WantedTask],
     config: Configuration,
     zone: str,
     now: float,
 ) -> list[WantedTask]:
-    """Adds the standing tasks of a configuration; returns those it dropped."""
-    standing = standing_tasks(config, zone, now)
-    for name, task in standing.items():
+    """Adds the configured tasks of services and watches that are missing.
+
+    Returns:
+        The tasks of services and watches that are no longer configured; they
+        stay in `tasks`.
+    """
+    configured = service_and_watch_tasks(config, zone, now)
+    for name, task in configured.items():
         tasks.setdefault(name, task)
     return [
         task
         for task in tasks.values()
-        if task.kind is not TaskKind.BATCH and task.task not in standing
+        if task.kind is not TaskKind.BATCH and task.task not in configured
     ]
 
 
 def pending_in_order(
     tasks: Iterable[WantedTask], now: float
 ) -> Iterator[WantedTask]:
-    """Yields the tasks that may be started, the most urgent first."""
+    """Yields the pending tasks that may start now, the most urgent first."""
     queue = [
-        (_urgency(task), task.queued_at, task.task, task)
+        (_start_rank(task), task.queued_at, task.task, task)
         for task in tasks
         if task.phase is TaskPhase.PENDING and task.not_before <= now
     ]
@@ -246,7 +251,7 @@
         yield heapq.heappop(queue)[-1]
 
 
-def _urgency(task: WantedTask) -> int:
+def _start_rank(task: WantedTask) -> int:
     if task.kind is TaskKind.SERVICE:
         return 0
     if task.kind is TaskKind.WATCH:
--- a/pimentocross/zones/views.py
+++ b/pimentocross/zones/views.py
@@ -1,4 +1,4 @@
-"""What others see of a cell: its load, and where its services answer."""
+"""What a cell reports to entry VMs: its load and its service replicas."""
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
@@ -12,15 +12,15 @@
 
 
 class Target(NamedTuple):
-    """Where a service answers.
+    """A running replica of a service that requests can be sent to.
 
     Attributes:
-        service: Its name.
-        worker: The worker that runs it.
+        service: Name of the service.
+        worker: Name of the worker that runs the replica.
         address: host:port.
-        concurrency: Requests that it runs at once.
-        connections: Connections that it accepts from all entry VMs.
-        zone: Its availability zone.
+        concurrency: Requests that the replica runs at once.
+        connections: Connections that the worker accepts from all entry VMs.
+        zone: The worker's availability zone.
     """
 
     service: str
@@ -32,7 +32,13 @@
 
 
 class CellLoad(NamedTuple):
-    """How full a cell is, for the choice of a cell for a new job."""
+    """A cell's load, by which the cell of a new job is chosen.
+
+    Attributes:
+        pending: Tasks that wait for a worker.
+        running: All other tasks.
+        free_slots: Unreserved slots of workers whose tasks are known.
+    """
 
     pending: int
     running: int
@@ -45,7 +51,7 @@
     workers: Mapping[str, Worker],
     config: Configuration | None,
 ) -> list[Target]:
-    """Returns where services answer, without leaving workers."""
+    """Returns the running service replicas, except on leaving workers."""
     found: list[Target] = []
     if config is None:
         return found
@@ -71,7 +77,7 @@
 def count_load(
     tasks: Mapping[str, WantedTask], workers: Mapping[str, Worker]
 ) -> CellLoad:
-    """Returns how full a cell is."""
+    """Returns a cell's load as it is now."""
     pending = sum(t.phase is TaskPhase.PENDING for t in tasks.values())
     free = sum(
         max(w.commitments.free.slots, 0) for w in workers.values() if w.met
@@ -80,17 +86,17 @@
 
 
 class LoadGauge:
-    """Counts a cell's load anew at most every `LOAD_INTERVAL`."""
+    """Caches a cell's load for `LOAD_INTERVAL` seconds."""
 
     def __init__(self) -> None:
-        """Has counted nothing yet."""
+        """Initializes the gauge; the first read counts the load."""
         self._load = CellLoad(0, 0, 0)
         self._counted_at = float("-inf")
 
     def read(
         self, tasks: Mapping[str, WantedTask], workers: Mapping[str, Worker]
     ) -> CellLoad:
-        """Returns how full the cell was a moment ago."""
+        """Returns the cell's load, at most `LOAD_INTERVAL` seconds old."""
         now = trio.current_time()
         if now - self._counted_at >= const.LOAD_INTERVAL:
             self._load = count_load(tasks, workers)
--- a/pimentocross/zones/withdrawals.py
+++ b/pimentocross/zones/withdrawals.py
@@ -1,4 +1,4 @@
-"""Stops replicas once nobody sends to them and all have answers."""
+"""Stops service replicas after their last requests have been answered."""
 
 from collections.abc import Callable
 
@@ -11,30 +11,37 @@
 
 
 class Withdrawals:
-    """Replicas that are withdrawn from the targets first, stopped later.
+    """Removes replicas from the targets first and stops them later.
 
     Attributes:
-        nursery: Where they wait, once the owner runs.
+        nursery: Runs the delayed stops; None until the owner runs.
     """
 
     def __init__(
         self,
         config: Callable[[], Configuration | None],
-        on_targets: Callable[[], None],
+        on_targets_changed: Callable[[], None],
     ) -> None:
-        """Takes the configuration and who tells the new targets."""
+        """Initializes without withdrawn replicas.
+
+        Args:
+            config: Returns the configuration, or None if there is none.
+            on_targets_changed: Called when a replica is withdrawn.
+        """
         self.nursery: trio.Nursery | None = None
         self._config = config
-        self._on_targets = on_targets
+        self._on_targets_changed = on_targets_changed
 
     def withdraw(self, worker: Worker, spec: TaskSpec) -> None:
-        """Withdraws a replica; it is stopped after its longest answer."""
-        self._on_targets()
+        """Withdraws a replica and stops it after its longest request."""
+        self._on_targets_changed()
         config = self._config()
         declared = config.services.get(spec.class_name) if config else None
-        longest = declared.timeout if declared else const.WITHDRAW_DEFAULT
+        longest_request = (
+            declared.timeout if declared else const.DEFAULT_REQUEST_TIMEOUT
+        )
         if self.nursery is not None:
-            delay = longest + const.WITHDRAW_NOTICE
+            delay = longest_request + const.TARGET_UPDATE_DELAY
             self.nursery.start_soon(self._stop_later, worker, spec, delay)
 
     async def _stop_later(
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration: merging, findings with place, versions."""
+"""Tests merging, checks with source locations, and versions."""
 
 from pathlib import Path
 
@@ -48,7 +48,7 @@
     assert "95.yaml:1:1: bogus: unknown key" in found
     assert any(f.startswith("95.yaml:5:5: services.kites.r") for f in found)
     assert any(f.startswith("95.yaml:6:27: services.kites.s") for f in found)
-    assert "95.yaml:7:5: 'size' is here twice" in found
+    assert "95.yaml:7:5: duplicate key 'size'" in found
 
 
 def test_references_and_sums_are_checked() -> None:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -17,16 +17,16 @@
 from pimentocross.placement.quarantine import Quarantine
 from pimentocross.placement.weighted import WeightedPolicy
 from pimentocross.vms.commitments import Commitments, OverCommitError
-from pimentocross.zones.placer import View
+from pimentocross.zones.placer import WorkerView
 
 _CAPACITY = Resources(16.0, 64, 0, 8)
 _QUETZAL = ObjectiveConfig(0.7, 0.2, 0.1)
 _OSTEND = ObjectiveConfig(0.2, 0.45, 0.35)
 
 
-def _view(name: str, classes: dict[str, int], used: float = 0.0) -> View:
+def _view(name: str, classes: dict[str, int], used: float = 0.0) -> WorkerView:
     free = _CAPACITY._replace(processors=16.0 - used)
-    return View(name, free, _CAPACITY, classes)
+    return WorkerView(name, free, _CAPACITY, classes)
 
 
 def _trained_interference(pairs: dict[tuple[str, str], float]) -> Interference:
