--- a/pimentocross/zones/cell.py
+++ b/pimentocross/zones/cell.py
@@ -269,7 +269,10 @@
         self._wake()
 
     def on_lapsed(self, worker: Worker) -> None:
-        """Queues a worker's tasks again once all its leases have lapsed."""
+        """Queues tasks again once all leases of their worker have lapsed.
+
+        Tasks whose end is being recorded are left as they are.
+        """
         now = trio.current_time()
         self._placer.note_lost(worker.name)
         for task in self._tasks.values():
@@ -321,8 +324,8 @@
             return
         if task.may_be_on(worker.name, spec.attempt):
             # This includes tasks that an earlier owner started and that ended
-            # before this owner met the worker: left pending, such a task
-            # would run again before its end is recorded.
+            # before this owner reached the worker: left pending, such a
+            # task would run again before its end is recorded.
             task.worker = worker.name
             task.attempt = spec.attempt
             task.phase = TaskPhase.ENDING
--- a/pimentocross/zones/withdrawals.py
+++ b/pimentocross/zones/withdrawals.py
@@ -33,7 +33,7 @@
         self._on_targets_changed = on_targets_changed
 
     def withdraw(self, worker: Worker, spec: TaskSpec) -> None:
-        """Withdraws a replica and stops it after its longest request."""
+        """Withdraws a replica and stops it after the longest request time."""
         self._on_targets_changed()
         config = self._config()
         declared = config.services.get(spec.class_name) if config else None
