--- a/bench/large_owner.py
+++ b/bench/large_owner.py
@@ -209,7 +209,7 @@
 
 def main() -> int:
     """Prints the costs, all in milliseconds of the owner's thread."""
-    process.prepare()
+    process.configure_collector()
     print_parts()
     with wire_workers.serving(_WORKERS) as addresses:
         for name, cost in trio.run(measure_calls, addresses[0]).items():
--- a/pimentocross/backing/__init__.py
+++ b/pimentocross/backing/__init__.py
@@ -1,1 +1,1 @@
-"""What the platform gives: log service, VM list, workers, and clients."""
+"""The platform's services (log, VM list, workers) and their HTTP clients."""
--- a/pimentocross/backing/clients.py
+++ b/pimentocross/backing/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the platform's services over HTTP, in the guessed wire form."""
+"""HTTP clients of the platform's services, in an assumed wire format."""
 
 from collections.abc import Sequence
 
@@ -27,10 +27,10 @@
 
 
 class HttpLogService:
-    """The log service over HTTP."""
+    """Client of the log service over HTTP."""
 
     def __init__(self, address: str) -> None:
-        """Takes the service's host:port."""
+        """Initializes the client with the service's host:port."""
         self._client = JsonClient(address)
 
     @property
@@ -42,7 +42,7 @@
         """Appends records; see `LogService`."""
         path = f"/streams/{stream}/append"
         try:
-            reply = await self._client.ask(
+            reply = await self._client.request_json(
                 "POST", path, list(bodies), const.APPEND_TIMEOUT
             )
         except JsonError as error:
@@ -56,7 +56,7 @@
         path = f"/streams/{stream}?from={start}&wait={wait}"
         timeout = wait + const.READ_TIMEOUT
         try:
-            reply = await self._client.ask("GET", path, None, timeout)
+            reply = await self._client.request_json("GET", path, None, timeout)
             if reply.status != _OK:
                 raise LogUnavailableError(f"status {reply.status}", sent=False)
             return msgspec.convert(reply.body, ReadPage)
@@ -65,10 +65,10 @@
 
 
 class HttpVmList:
-    """The VM list over HTTP; sent again only once it has changed."""
+    """Client of the VM list; the list is transferred only when it changed."""
 
     def __init__(self, address: str) -> None:
-        """Takes the service's host:port."""
+        """Initializes the client with the service's host:port."""
         self._client = JsonClient(address)
         self._etag = ""
         self._vms: list[Vm] = []
@@ -79,9 +79,9 @@
         return self._client.bytes_moved
 
     async def fetch(self) -> list[Vm]:
-        """Returns all VMs listed; see `VmList`."""
+        """Returns all listed VMs; see `VmList`."""
         try:
-            reply = await self._client.ask(
+            reply = await self._client.request_json(
                 "GET", "/vms", None, const.VM_LIST_TIMEOUT, etag=self._etag
             )
             if reply.status != _NOT_MODIFIED:
@@ -93,10 +93,10 @@
 
 
 class HttpWorkerLink:
-    """One worker over HTTP."""
+    """Link to one worker over HTTP."""
 
     def __init__(self, address: str, key: str) -> None:
-        """Takes the worker's host:port and the key that it wants."""
+        """Initializes the link with the worker's host:port and access key."""
         self._client = JsonClient(address, key)
 
     @property
@@ -107,7 +107,7 @@
     async def exchange(self, request: Exchange) -> ExchangeReply:
         """Sends commands; see `WorkerLink`."""
         try:
-            reply = await self._client.ask(
+            reply = await self._client.request_json(
                 "POST", "/exchange", request, const.EXCHANGE_TIMEOUT
             )
             if reply.status == _OK:
@@ -121,10 +121,10 @@
 
 
 class HttpWorkerDialer:
-    """Makes HTTP links to workers."""
+    """Creates and caches HTTP links to workers."""
 
     def __init__(self, key: str) -> None:
-        """Takes the key that the workers want."""
+        """Initializes the dialer with the access key of the workers."""
         self._key = key
         self._links: dict[str, HttpWorkerLink] = {}
 
--- a/pimentocross/backing/http.py
+++ b/pimentocross/backing/http.py
@@ -1,4 +1,4 @@
-"""JSON over HTTP to one platform service."""
+"""HTTP client for JSON requests to a platform service."""
 
 from collections.abc import Iterable
 from typing import Any, Final, NamedTuple
@@ -8,18 +8,18 @@
 
 from pimentocross.backing.const import (
     CONNECT_TIMEOUT,
-    CONNECTIONS_MOST,
     KEEP_ALIVE,
+    MAX_CONNECTIONS,
 )
 
-# Method, version, status and blank lines of a request and its reply.
-_FIRST_LINES: Final = 40
-# Colon, blank and line end of a header.
-_HEADER_EXTRA: Final = 4
+# Size of method, version, status and blank lines of a request and its reply.
+_START_LINE_BYTES: Final = 40
+# Size of colon, space and line end of a header.
+_HEADER_SEPARATOR_BYTES: Final = 4
 
 
 class JsonReply(NamedTuple):
-    """Status, decoded body (None if it is empty) and entity tag."""
+    """A reply: status, decoded body (None if empty) and entity tag."""
 
     status: int
     body: Any
@@ -27,31 +27,31 @@
 
 
 class JsonError(Exception):
-    """No usable reply.
+    """There is no reply, or it is not valid JSON.
 
     Attributes:
-        sent: True if the request may have taken effect.
+        sent: Whether the request may have taken effect.
     """
 
     def __init__(self, reason: str, *, sent: bool) -> None:
-        """Notes the reason and whether the request may have been sent."""
+        """Initializes the error; `sent` is true if the request may be sent."""
         super().__init__(reason)
         self.sent = sent
 
 
 class JsonClient:
-    """Asks one address; connections are kept between requests.
+    """Sends requests to one address over persistent connections.
 
     Attributes:
-        bytes_moved: Bytes of requests and replies, heads included.
+        bytes_moved: Bytes of requests and replies, including headers.
     """
 
     def __init__(self, address: str, key: str = "") -> None:
-        """Takes host:port and the key that the service wants, if any."""
+        """Initializes the client with host:port and an optional access key."""
         self._base = f"http://{address}"
         self._pool = httpcore.AsyncConnectionPool(
-            max_connections=CONNECTIONS_MOST,
-            max_keepalive_connections=CONNECTIONS_MOST,
+            max_connections=MAX_CONNECTIONS,
+            max_keepalive_connections=MAX_CONNECTIONS,
             keepalive_expiry=KEEP_ALIVE,
         )
         self.bytes_moved = 0
@@ -59,7 +59,7 @@
         if key:
             self._headers.append(("Authorization", f"Bearer {key}"))
 
-    async def ask(
+    async def request_json(
         self,
         method: str,
         path: str,
@@ -71,14 +71,14 @@
         """Sends one request and decodes the reply.
 
         Args:
-            method: Of the request.
-            path: With its query.
-            body: Sent as JSON.
-            timeout: Seconds to wait at each step.
-            etag: Asks for the body only if it has another entity tag.
+            method: HTTP method.
+            path: Path and query.
+            body: Value that is sent as JSON.
+            timeout: Timeout in seconds of each step, such as connect or read.
+            etag: Requests the body only if its entity tag differs.
 
         Raises:
-            JsonError: No reply, or one that is not JSON.
+            JsonError: There is no reply, or it is not valid JSON.
         """
         timeouts = {
             "connect": min(CONNECT_TIMEOUT, timeout),
@@ -99,9 +99,9 @@
                 content=content,
                 extensions={"timeout": timeouts},
             )
-            sent = len(url) + len(content) + _size(headers)
-            received = len(response.content) + _size(response.headers)
-            self.bytes_moved += sent + received + _FIRST_LINES
+            sent = len(url) + len(content) + _headers_size(headers)
+            received = len(response.content) + _headers_size(response.headers)
+            self.bytes_moved += sent + received + _START_LINE_BYTES
             decoded = None
             if response.content:
                 decoded = msgspec.json.decode(response.content)
@@ -124,12 +124,12 @@
             raise JsonError(reason, sent=True) from error
 
     async def aclose(self) -> None:
-        """Closes the kept connections."""
+        """Closes the idle connections."""
         await self._pool.aclose()
 
 
-def _size(headers: Iterable[tuple[str | bytes, str | bytes]]) -> int:
-    return sum(len(n) + len(v) + _HEADER_EXTRA for n, v in headers)
+def _headers_size(headers: Iterable[tuple[str | bytes, str | bytes]]) -> int:
+    return sum(len(n) + len(v) + _HEADER_SEPARATOR_BYTES for n, v in headers)
 
 
 def _etag(response: httpcore.Response) -> str:
--- a/pimentocross/backing/log.py
+++ b/pimentocross/backing/log.py
@@ -1,30 +1,32 @@
-"""The platform's append-only log service, as this project uses it.
+"""Interface of the platform's append-only log service.
 
-The wire form is a guess until the platform's own description arrives; see
-`docs/platform-assumptions.md`. Only the client module knows the wire form.
+The wire format is an assumption until the platform's specification is
+available; see `docs/platform-assumptions.md`. Only the client module depends
+on it.
 """
 
 from collections.abc import Sequence
 from typing import Any, NamedTuple, Protocol, TypeAlias
 
-# One record as JSON: at least "id" (unique) and "kind", then its fields.
+# A record as JSON: "id" (unique), "kind" and the fields of this kind.
 RecordBody: TypeAlias = dict[str, Any]
 
 
 class Record(NamedTuple):
-    """One record of a stream at its offset."""
+    """A record of a stream and its offset."""
 
     offset: int
     body: RecordBody
 
 
 class ReadPage(NamedTuple):
-    """What a read returns.
+    """Result of a read.
 
     Attributes:
-        first_kept: Lowest offset that the service still keeps.
-        end: Offset that the next append will get.
-        records: Records from the asked offset on, in order, maybe not all.
+        first_kept: Lowest offset that the service still retains.
+        end: Offset that the next appended record will get.
+        records: Records from the requested offset on, in order; possibly not
+            up to the end.
     """
 
     first_kept: int
@@ -33,29 +35,30 @@
 
 
 class LogUnavailableError(Exception):
-    """The log service did not answer as asked.
+    """The log service did not answer, or reported an error.
 
     Attributes:
-        sent: True if the operation may have taken effect all the same.
+        sent: Whether the operation may have taken effect anyway.
     """
 
     def __init__(self, reason: str, *, sent: bool) -> None:
-        """Notes the reason and whether the operation may have happened."""
+        """Initializes the error; `sent` is true if it may have taken effect."""
         super().__init__(reason)
         self.sent = sent
 
 
 class LogService(Protocol):
-    """Appends to and reads from streams. Offsets start at 0 per stream."""
+    """Appends to and reads from streams, whose offsets start at 0."""
 
     async def append(self, stream: str, bodies: Sequence[RecordBody]) -> int:
         """Appends records in one operation.
 
         Returns:
-            The offset of the first of them.
+            The offset of the first appended record.
 
         Raises:
-            LogUnavailableError: No answer; `sent` tells what that may mean.
+            LogUnavailableError: The append failed, or its result is unknown;
+                see `sent`.
         """
         ...
 
@@ -63,6 +66,6 @@
         """Reads from `start` on, waiting up to `wait` seconds for a record.
 
         Raises:
-            LogUnavailableError: No answer.
+            LogUnavailableError: The read failed.
         """
         ...
--- a/pimentocross/backing/vms.py
+++ b/pimentocross/backing/vms.py
@@ -1,34 +1,34 @@
-"""The platform's list of VMs, which lags behind what is so."""
+"""Interface of the platform's VM list, which may be out of date."""
 
 from enum import StrEnum
 from typing import NamedTuple, Protocol
 
 
 class VmRole(StrEnum):
-    """What a VM is for."""
+    """Role of a VM."""
 
     ENTRY = "entry"
     WORKER = "worker"
 
 
 class VmState(StrEnum):
-    """What the list says of a VM. One that is gone is not listed."""
+    """State of a listed VM. A VM that is gone is not listed."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class Vm(NamedTuple):
-    """One VM of the list.
+    """A listed VM.
 
     Attributes:
-        name: Its name, which a replacement may take over.
-        role: What it is for.
-        address: Where its control listener answers, as host:port.
-        zone: Its availability zone.
-        rack: Its rack.
+        name: Name, which a replacement VM may reuse.
+        role: Entry VM or worker.
+        address: host:port of its control listener.
+        zone: Availability zone.
+        rack: Rack within the zone.
         state: Live or leaving.
-        process: Id of the process that registered it.
+        process: Id of the process that registered the VM.
     """
 
     name: str
@@ -41,16 +41,16 @@
 
 
 class VmListUnavailableError(Exception):
-    """The list did not answer."""
+    """The VM list could not be read."""
 
 
 class VmList(Protocol):
-    """Reads the list."""
+    """Reads the VM list."""
 
     async def fetch(self) -> list[Vm]:
-        """Returns all VMs listed.
+        """Returns all listed VMs.
 
         Raises:
-            VmListUnavailableError: No answer.
+            VmListUnavailableError: The list could not be read.
         """
         ...
--- a/pimentocross/backing/workers.py
+++ b/pimentocross/backing/workers.py
@@ -1,7 +1,7 @@
-"""Workers: what runs on them, the commands they take, what they report.
+"""Interface of the workers: tasks, commands and reports.
 
-One exchange carries all commands for a worker and brings back all that
-changed. The wire form is a guess; see `docs/platform-assumptions.md`.
+One exchange sends all commands for a worker and returns all changes. The wire
+format is an assumption; see `docs/platform-assumptions.md`.
 """
 
 from enum import StrEnum
@@ -11,7 +11,7 @@
 
 
 class Resources(NamedTuple):
-    """An amount of what a VM can carry; memory in bytes."""
+    """Resources of a VM or a task; memory is in bytes."""
 
     processors: float
     memory: int
@@ -19,7 +19,7 @@
     slots: int
 
     def plus(self, other: "Resources") -> "Resources":
-        """Returns the sum of both."""
+        """Returns the component-wise sum."""
         return Resources(
             self.processors + other.processors,
             self.memory + other.memory,
@@ -28,7 +28,7 @@
         )
 
     def minus(self, other: "Resources") -> "Resources":
-        """Returns the difference."""
+        """Returns the component-wise difference."""
         return Resources(
             self.processors - other.processors,
             self.memory - other.memory,
@@ -37,15 +37,15 @@
         )
 
     def fits_in(self, free: "Resources") -> bool:
-        """True if no part exceeds that of `free`."""
+        """Returns whether no component exceeds that of `free`."""
         return all(a <= b for a, b in zip(self, free, strict=True))
 
 
-NOTHING = Resources(0.0, 0, 0, 0)
+NO_RESOURCES = Resources(0.0, 0, 0, 0)
 
 
 class TaskKind(StrEnum):
-    """What a task is part of."""
+    """Kind of work that a task belongs to."""
 
     SERVICE = "service"
     BATCH = "batch"
@@ -53,7 +53,7 @@
 
 
 class TaskState(StrEnum):
-    """What a worker says of a task."""
+    """State of a task as its worker reports it."""
 
     RUNNING = "running"
     FINISHED = "finished"
@@ -63,24 +63,24 @@
 
 
 class Attempt(NamedTuple):
-    """One try at a task; a later epoch's tries come after all earlier."""
+    """An attempt to run a task; ordered by epoch, then by number."""
 
     epoch: int
     number: int
 
 
 class TaskSpec(NamedTuple):
-    """A task as a worker is told to run it.
+    """Specification of a task that a worker runs.
 
     Attributes:
-        task: Its id, unique in the cluster.
-        attempt: Which try this is.
-        kind: What it is part of.
-        class_name: Its service, batch class or watch.
-        tenant: Whose it is.
-        size: What it may use.
-        input: What the task gets as its input.
-        checkpoint: Where to resume, or "".
+        task: Id of the task, unique in the cluster.
+        attempt: Number of this attempt.
+        kind: Kind of work that the task belongs to.
+        class_name: Name of its service, batch class or watch.
+        tenant: Tenant that owns the task.
+        size: Resources that the task may use.
+        input: Input of the task.
+        checkpoint: Checkpoint to resume from, or "".
     """
 
     task: str
@@ -94,13 +94,13 @@
 
 
 class Start(NamedTuple):
-    """Start a task; the same attempt twice is one start."""
+    """Starts a task; idempotent for the same attempt."""
 
     spec: TaskSpec
 
 
 class Stop(NamedTuple):
-    """Stop a task, after a checkpoint if one is asked for."""
+    """Stops a task, after writing a checkpoint if requested."""
 
     task: str
     attempt: Attempt
@@ -108,7 +108,7 @@
 
 
 class Throttle(NamedTuple):
-    """Let a task use only a share (0 to 1) of its processors."""
+    """Limits a task to a share (0 to 1) of its processors."""
 
     task: str
     attempt: Attempt
@@ -116,7 +116,7 @@
 
 
 class Forget(NamedTuple):
-    """Drop a task that no longer runs and whose end is recorded."""
+    """Removes a task that no longer runs and whose end is recorded."""
 
     task: str
     attempt: Attempt
@@ -130,14 +130,14 @@
 
 
 class TaskReport(NamedTuple):
-    """What a worker says of one task.
+    """A worker's report on a task.
 
     Attributes:
-        spec: As it was started.
-        state: Whether and how it ended.
-        checkpoint: The newest checkpoint, or "".
-        result: Its result or the reason of its failure.
-        throttle: Share of its processors that it may use.
+        spec: Specification that the task was started with.
+        state: Whether the task runs, or how it ended.
+        checkpoint: Newest checkpoint, or "".
+        result: Result of the task, or the reason of its failure.
+        throttle: Share of its processors that the task may use.
     """
 
     spec: TaskSpec
@@ -148,15 +148,15 @@
 
 
 class Usage(NamedTuple):
-    """What one task was seen to use over a while that has passed.
+    """Measured resource usage of a task over a past interval.
 
     Attributes:
-        task: Its id.
-        class_name: Its service, batch class or watch.
-        measured_at: The worker's clock at the middle of that while.
-        processors: Mean processors used.
-        memory: Highest memory used, in bytes.
-        slowdown: Time taken over the time that it takes alone.
+        task: Id of the task.
+        class_name: Name of its service, batch class or watch.
+        measured_at: The worker's clock at the middle of the interval.
+        processors: Mean number of processors used.
+        memory: Peak memory use, in bytes.
+        slowdown: Duration divided by the duration without other tasks.
     """
 
     task: str
@@ -168,18 +168,19 @@
 
 
 class Exchange(NamedTuple):
-    """Commands of a cell's owner to one worker, with what fences them.
+    """Commands of a cell's owner to a worker, with their fencing data.
 
     Attributes:
-        cell: The cell that the worker belongs to.
-        epoch: Of the ownership under which the owner acts.
-        sequence: Grows with each exchange of an epoch.
-        incarnation: The worker process meant, or "" to meet any.
-        not_after: Worker's clock at which the commands are void.
-        lease_until: Worker's clock to which batch and watch tasks may run.
-        service_lease_until: The same for service tasks.
-        seen: The newest change that the owner has got.
-        commands: In order, each as its array form.
+        cell: Cell that the worker belongs to.
+        epoch: Epoch of the ownership under which the owner acts.
+        sequence: Increases with each exchange of an epoch.
+        incarnation: Id of the addressed worker process, or "" for any.
+        not_after: Time on the worker's clock at which the commands expire.
+        lease_until: Time on the worker's clock until which batch and watch
+            tasks may run.
+        service_lease_until: Like `lease_until`, for service tasks.
+        seen: Number of the newest change that the owner has received.
+        commands: Commands in order, each in its array form.
     """
 
     cell: str
@@ -194,18 +195,18 @@
 
 
 class ExchangeReply(NamedTuple):
-    """What a worker answers.
+    """A worker's reply to an exchange.
 
     Attributes:
         incarnation: Id of this worker process.
-        clock: Its monotonic clock while it answered, in seconds.
-        capacity: What it can carry.
-        service_address: Where its service tasks answer, as host:port.
-        connections: Connections that its service tasks accept.
-        leaving: True once it is to be emptied.
+        clock: Monotonic clock of the worker when it replied, in seconds.
+        capacity: Resources of the worker.
+        service_address: host:port at which its service tasks answer.
+        connections: Number of connections that its service tasks accept.
+        leaving: Whether the worker has to be drained.
         seen: Number of the newest change in `changes`.
-        changes: Tasks changed since the `seen` that was asked with.
-        usage: Measurements that have become known.
+        changes: Tasks that changed since the `seen` of the request.
+        usage: New measurements.
     """
 
     incarnation: str
@@ -220,7 +221,7 @@
 
 
 class Refusal(StrEnum):
-    """Why a worker refuses an exchange."""
+    """Reason for which a worker refuses an exchange."""
 
     KEY = "key is missing or wrong"
     STALE_EPOCH = "a later epoch has been met"
@@ -231,33 +232,33 @@
 
 
 class WorkerRefusedError(Exception):
-    """The worker refused the exchange and did nothing of it."""
+    """The worker refused the exchange and carried out none of it."""
 
     def __init__(self, refusal: Refusal) -> None:
-        """Notes why."""
+        """Initializes the error with the reason of the refusal."""
         super().__init__(refusal.value)
         self.refusal = refusal
 
 
 class WorkerUnreachableError(Exception):
-    """The worker did not answer; it may have done all, some or nothing."""
+    """The worker did not answer; it may have executed any of the commands."""
 
 
 class WorkerLink(Protocol):
-    """Carries exchanges to one worker."""
+    """Sends exchanges to one worker."""
 
     async def exchange(self, request: Exchange) -> ExchangeReply:
-        """Sends commands and returns what changed.
+        """Sends commands and returns the changes.
 
         Raises:
-            WorkerRefusedError: The worker did nothing.
-            WorkerUnreachableError: It is unknown what the worker did.
+            WorkerRefusedError: The worker executed none of the commands.
+            WorkerUnreachableError: Any of the commands may have been executed.
         """
         ...
 
 
 class WorkerDialer(Protocol):
-    """Makes links to workers."""
+    """Creates links to workers."""
 
     def link(self, address: str) -> WorkerLink:
         """Returns a link to the worker at host:port; connects on use."""
--- a/pimentocross/cli/entry.py
+++ b/pimentocross/cli/entry.py
@@ -22,7 +22,7 @@
 from pimentocross.entry.node import EntryNode, Platform, Ports, open_entry
 from pimentocross.entry.settings import EntrySettings
 from pimentocross.links.greeting import Credentials
-from pimentocross.observe.logs import log_to, quiet_listeners
+from pimentocross.observe.logs import limit_accept_error_logs, log_to
 
 _KEYS_MOST = 2
 # Files that a process has open beside connections.
@@ -118,7 +118,7 @@
     )
     _bound_connections(connections_most)
     log_to(log_file)
-    quiet_listeners()
+    limit_accept_error_logs()
     trio.run(_run, settings, platform)
 
 
--- a/pimentocross/cli/standin.py
+++ b/pimentocross/cli/standin.py
@@ -151,4 +151,6 @@
             _serve, make_worker_app(standin, key), host, int(port)
         )
         client = JsonClient(vm_list)
-        await client.ask("PUT", f"/vms/{vm.name}", vm, _REGISTER_TIMEOUT)
+        await client.request_json(
+            "PUT", f"/vms/{vm.name}", vm, _REGISTER_TIMEOUT
+        )
--- a/pimentocross/gateway/intake.py
+++ b/pimentocross/gateway/intake.py
@@ -247,7 +247,7 @@
             # A refusal says nothing of what the owner was asked before.
             return asked.tell()
         note("handed_over", job=message.job)
-        meters.add_taken_in("handed over")
+        meters.add_intake_stored("handed over")
         return reply
 
     async def _may_store(self, message: _Kept) -> bool:
@@ -281,9 +281,9 @@
             asked_before=asked.may_have_happened,
         )
         if isinstance(message, CancelJob):
-            meters.add_taken_in("cancel")
+            meters.add_intake_stored("cancel")
             return JobAnswer(Outcome.OK, JobState.CANCELLED)
-        meters.add_taken_in("submission")
+        meters.add_intake_stored("submission")
         return JobAnswer(Outcome.OK, JobState.QUEUED)
 
 
--- a/pimentocross/gateway/node.py
+++ b/pimentocross/gateway/node.py
@@ -40,7 +40,7 @@
     dial_tcp,
 )
 from pimentocross.observe.decisions import note, write_lines
-from pimentocross.observe.late_log import LateLog
+from pimentocross.observe.late_log import LoopLatenessLog
 from pimentocross.owner.desk import JobReply, Outcome
 from pimentocross.owner.owner import CellPlatform, Owner
 from pimentocross.work.queue import Queue, WorkConfig
@@ -80,7 +80,7 @@
         )
         platform = platform._replace(zones=self._configs.evacuations)
         self._peer_activity = PeerActivity()
-        self._late_log = LateLog()
+        self._late_log = LoopLatenessLog()
         self._cluster = Cluster(platform.store)
         self._election = Election(
             self._own_identity,
@@ -136,7 +136,7 @@
         )
         note("start", process=self._own_identity.process, zone=settings.zone)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(write_lines, self._late_log.take)
+            nursery.start_soon(write_lines, self._late_log.record)
             await nursery.start(ready.serve, settings.ready_address)
             await nursery.start(callers.serve, settings.caller_address)
             nursery.start_soon(self._serve_metrics, surfaces.metrics)
@@ -190,7 +190,7 @@
             "owner_absent_seconds": self.owner_absent(),
             "owned_epoch": owner.epoch if owner is not None else 0,
             "store_age_seconds": self._election.owner_status().store_age,
-            "loop_late_most_seconds": self._late_log.most,
+            "loop_late_most_seconds": self._late_log.worst_recent,
         }
 
     async def _serve_metrics(self, handler: Handler) -> None:
--- a/pimentocross/observe/__init__.py
+++ b/pimentocross/observe/__init__.py
@@ -1,1 +1,1 @@
-"""What operators see: histograms, logs, explanations."""
+"""Observability: metrics, latency histograms and logs."""
--- a/pimentocross/observe/late_log.py
+++ b/pimentocross/observe/late_log.py
@@ -1,4 +1,4 @@
-"""Tells how late a process's event loop is, and what it did meanwhile."""
+"""Logs delays of the event loop, with the CPU time used meanwhile."""
 
 from collections import deque
 import time
@@ -9,60 +9,60 @@
 from pimentocross.observe import meters
 from pimentocross.observe.decisions import note
 
-# Lateness that is told: calls to workers are given up after 0.8 s, and peers
-# suspect an owner after 1 s of silence.
-_TOLD_FROM: Final = 0.25
-_TOLD_INTERVAL: Final = 1.0
-# The gauge is of the last seconds: scrapers come every 5 to 15 s.
-_MOST_OF: Final = 15.0
+# Minimum delay in seconds that is logged. Calls to workers time out after
+# 0.8 s, and peers suspect an owner after 1 s without an answer.
+_MIN_LOGGED_SECONDS: Final = 0.25
+_LOG_INTERVAL: Final = 1.0
+# Seconds that the gauge covers, as metrics are scraped every 5 to 15 s.
+_GAUGE_WINDOW: Final = 15.0
 
 
-class _Late(NamedTuple):
-    """When the loop was late, monotonic, and by how many seconds."""
+class _Stall(NamedTuple):
+    """Monotonic time of a delay, and the delay in seconds."""
 
     at: float
     seconds: float
 
 
-class LateLog:
-    """Takes each lateness that is measured, whoever measures it."""
+class LoopLatenessLog:
+    """Records the measured delays of the event loop; logs long ones."""
 
     def __init__(self) -> None:
-        """Has seen none yet."""
-        self._told_at = float("-inf")
-        self._lates: deque[_Late] = deque()
-        self._processor = time.process_time()
-        self._passes = meters.total(meters.PASS_SECONDS)
+        """Initializes the log without any delay."""
+        self._logged_at = float("-inf")
+        self._stalls: deque[_Stall] = deque()
+        self._cpu_seconds = time.process_time()
+        self._pass_seconds = meters.total(meters.PASS_SECONDS)
 
     @property
-    def most(self) -> float:
-        """The most that it was late by in the last seconds."""
-        since = trio.current_time() - _MOST_OF
-        recent = [late.seconds for late in self._lates if late.at >= since]
+    def worst_recent(self) -> float:
+        """Longest delay in the time that the gauge covers, in seconds."""
+        since = trio.current_time() - _GAUGE_WINDOW
+        recent = [late.seconds for late in self._stalls if late.at >= since]
         return max(recent, default=0.0)
 
-    def take(self, late: float) -> None:
-        """Counts a lateness in seconds, and tells a long one.
+    def record(self, late: float) -> None:
+        """Records a delay in seconds, and logs it if it is long.
 
-        To be called each time it is measured: what is told is what was done
-        since the last call.
+        Must be called for each measurement, as the logged CPU time and time of
+        passes are those since the previous call.
         """
         now = trio.current_time()
-        processor, self._processor = self._processor, time.process_time()
-        passes = self._passes
-        self._passes = meters.total(meters.PASS_SECONDS)
+        processor, self._cpu_seconds = self._cpu_seconds, time.process_time()
+        passes = self._pass_seconds
+        self._pass_seconds = meters.total(meters.PASS_SECONDS)
         meters.add(meters.LOOP_LATE, late)
-        while self._lates and self._lates[0].at < now - _MOST_OF:
-            self._lates.popleft()
-        if late < _TOLD_FROM:
+        while self._stalls and self._stalls[0].at < now - _GAUGE_WINDOW:
+            self._stalls.popleft()
+        if late < _MIN_LOGGED_SECONDS:
             return
-        self._lates.append(_Late(now, late))
-        if now - self._told_at < _TOLD_INTERVAL:
+        self._stalls.append(_Stall(now, late))
+        if now - self._logged_at < _LOG_INTERVAL:
             return
-        self._told_at = now
+        self._logged_at = now
         note(
             "late",
             late=round(late, 3),
-            passes=round(self._passes - passes, 3),
-            processor=round(self._processor - processor, 3),
+            passes=round(self._pass_seconds - passes, 3),
+            processor=round(self._cpu_seconds - processor, 3),
         )
--- a/pimentocross/observe/logs.py
+++ b/pimentocross/observe/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs by `eliot`: one action tree per request and per job."""
+"""Structured logs with `eliot`: an action tree per request and per job."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -10,50 +10,51 @@
 import eliot
 
 _STDERR = "-"
-_REPEAT_AFTER = 10.0
+_REPEAT_INTERVAL = 10.0
 _destinations: list[str] = []
 
 
-class _OncePerWhile(logging.Filter):
-    """Passes one message in a while, without its stack."""
+class _RateLimitFilter(logging.Filter):
+    """Passes a message every few seconds, without its stack trace."""
 
     def __init__(self) -> None:
         super().__init__()
         self._passed_at = float("-inf")
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Returns whether the message passes."""
+        """Returns whether the message is logged."""
         now = time.monotonic()
-        if now - self._passed_at < _REPEAT_AFTER:
+        if now - self._passed_at < _REPEAT_INTERVAL:
             return False
         self._passed_at = now
         record.exc_info = None
         return True
 
 
-def quiet_listeners() -> None:
-    """Keeps the accept loop from logging a stack for each refusal.
+def limit_accept_error_logs() -> None:
+    """Limits how often the accept loop logs that it can't accept.
 
-    While all files are in use it tries ten times a second.
+    While all file descriptors are in use, it retries ten times a second and
+    would log a stack trace each time.
     """
-    logging.getLogger("trio.serve_listeners").addFilter(_OncePerWhile())
+    logging.getLogger("trio.serve_listeners").addFilter(_RateLimitFilter())
 
 
 class ActionFields:
-    """Fields of an action's end, added while it runs."""
+    """Adds fields to the end message of an action while it runs."""
 
     def __init__(self, action: eliot.Action | None) -> None:
-        """Takes the action, or None while nothing is logged."""
+        """Initializes with the action, or None if logging is disabled."""
         self._action = action
 
     def add(self, **fields: object) -> None:
-        """Adds fields; never secrets or bodies."""
+        """Adds fields, which must not contain secrets or bodies."""
         if self._action is not None:
             self._action.add_success_fields(**fields)
 
 
 def log_to(file: str) -> None:
-    """Sends logs to a file, to standard error for "-", or nowhere."""
+    """Logs to a file, to standard error for "-", or nowhere for ""."""
     if not file:
         return
     _destinations.append(file)
@@ -64,7 +65,7 @@
 
 
 def trace_id() -> str:
-    """Returns where the next process continues the tree, or ""."""
+    """Returns the id to continue the action tree elsewhere, or ""."""
     action = eliot.current_action()
     if action is None:
         return ""
@@ -76,12 +77,12 @@
 def log_action(
     action_type: str, parent: str = "", **fields: object
 ) -> Iterator[ActionFields]:
-    """Logs the start and the end of an action; free if nobody listens.
+    """Logs start and end of an action; costs nothing if logging is disabled.
 
     Args:
-        action_type: Its kind, such as "call".
-        parent: Where another process's tree goes on, or "".
-        **fields: What identifies it.
+        action_type: Kind of the action, such as "call".
+        parent: Id from `trace_id` of the process to continue from, or "".
+        **fields: Fields that identify the action.
     """
     if not _destinations:
         yield ActionFields(None)
@@ -97,6 +98,6 @@
 
 
 def log_event(message_type: str, **fields: object) -> None:
-    """Logs something that happened."""
+    """Logs an event with its fields."""
     if _destinations:
         eliot.log_message(message_type=message_type, **fields)
--- a/pimentocross/observe/metrics.py
+++ b/pimentocross/observe/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms in the text form that scrapers read."""
+"""Renders counters and latency histograms in the Prometheus text format."""
 
 from collections.abc import Iterator, Mapping
 
@@ -10,11 +10,11 @@
 
 
 def render(histograms: Histograms, gauges: dict[str, float]) -> bytes:
-    """Returns the page.
+    """Returns the metrics page.
 
     Args:
-        histograms: Latencies by label.
-        gauges: Present values by name.
+        histograms: Latency histograms by label.
+        gauges: Current values by name.
     """
     lines = ["# TYPE pimentocross_decisions_total counter"]
     for kind, count in sorted(counts().items()):
@@ -24,8 +24,8 @@
         lines.append(
             f'pimentocross_log_lines_dropped_total{{is="{kind}"}} {count}'
         )
-    lines.extend(_typed(meters.totals(), "counter", ".10g"))
-    lines.extend(_typed(gauges, "gauge", "g"))
+    lines.extend(_render_values(meters.totals(), "counter", ".10g"))
+    lines.extend(_render_values(gauges, "gauge", "g"))
     lines.append("# TYPE pimentocross_latency_ms summary")
     for summary in histograms.summaries():
         label = f'{summary.kind}="{summary.name}"'
@@ -41,12 +41,14 @@
     return "\n".join(lines).encode() + b"\n"
 
 
-def _typed(values: Mapping[str, float], kind: str, form: str) -> Iterator[str]:
-    """Yields lines of values by name; labels are part of a name."""
-    typed = ""
+def _render_values(
+    values: Mapping[str, float], kind: str, form: str
+) -> Iterator[str]:
+    """Yields the lines of values by name; a name includes its labels."""
+    typed_family = ""
     for name, value in sorted(values.items()):
         family = name.partition("{")[0]
-        if family != typed:
+        if family != typed_family:
             yield f"# TYPE pimentocross_{family} {kind}"
-            typed = family
+            typed_family = family
         yield f"pimentocross_{name} {value:{form}}"
--- a/pimentocross/observe/problems.py
+++ b/pimentocross/observe/problems.py
@@ -1,4 +1,4 @@
-"""Refusals and failures as problem documents (RFC 9457)."""
+"""Refused and failed requests as problem documents (RFC 9457)."""
 
 from enum import StrEnum
 import math
@@ -8,21 +8,21 @@
 
 
 class RunState(StrEnum):
-    """What a refusal promises about the work."""
+    """Whether the work of a request that got no answer may have run."""
 
     NOT_RUN = "not run"
     UNKNOWN = "unknown"
 
 
 class Problem(NamedTuple):
-    """Why a request got no answer of a target.
+    """Reason for which a request got no answer from a target.
 
     Attributes:
         status: HTTP status.
-        state: Whether the work surely did not run.
-        reason: Short name of the reason, stable for programs.
+        state: Whether the work certainly did not run.
+        reason: Short name of the reason, stable for use by programs.
         detail: The reason in a sentence, with its numbers.
-        retry_after: Seconds after which asking again may help, or None.
+        retry_after: Seconds after which a retry may succeed, or None.
     """
 
     status: int
@@ -50,10 +50,10 @@
 def not_run(
     status: int, reason: str, detail: str, retry_after: float | None = None
 ) -> Problem:
-    """Returns a refusal of work that surely did not run."""
+    """Returns the problem of a request whose work did not run."""
     return Problem(status, RunState.NOT_RUN, reason, detail, retry_after)
 
 
 def unknown(status: int, reason: str, detail: str) -> Problem:
-    """Returns a failure after which the work may have run."""
+    """Returns the problem of a request whose work may have run."""
     return Problem(status, RunState.UNKNOWN, reason, detail)
--- a/pimentocross/observe/shares.py
+++ b/pimentocross/observe/shares.py
@@ -1,129 +1,133 @@
-"""What each kind of line may take of a log's bounds.
+"""Divides the decision log's rate and buffer limits among kinds of lines.
 
-Bulk kinds are told from rare ones by what they wrote lately: the larger a
-kind's part of what may be written, the more of the allowance it has to leave to
-others. Kinds that ask for more than a fair part get equal parts, all others get
-what they ask for, and what nobody asks for goes to whoever does.
+Bulk kinds are distinguished from rare ones by the bytes that they wrote
+recently: the larger a kind's share of the rate, the more of the token bucket it
+has to leave to others. Kinds that need more than a fair share get equal shares,
+all others get what they need, and unused capacity is available to any kind.
 """
 
 import math
 from typing import Final
 
-from pimentocross.observe.tables import Noted
+from pimentocross.observe.tables import TimedDecision
 
-# Of the allowance, a kind that wrote all of it lately leaves this to others,
-# and one that wrote a half leaves half of this. With two bulk kinds 45 KB are
-# left: a line of each of 250 workers at once takes 27 KB.
-_LEFT_TO_OTHERS: Final = 0.75
-# Seconds over which a kind's part is measured: some times as long as a burst
-# takes to come back, so that a burst alone makes no bulk kind.
-_MEASURED_OVER: Final = 5.0
-# Bytes of a line of a kind that wasn't written yet: most have about as many.
-_FIRST_SIZE: Final = 100.0
-# Weight of the newest lines in a kind's typical size.
-_SIZE_WEIGHT: Final = 0.25
+# Share of the bucket that a kind has to leave to others if it recently used the
+# whole rate; a kind that used half of it leaves half of this share. With two
+# bulk kinds, 45 KB are left: lines of 250 workers at once take 27 KB.
+_RESERVED_FOR_OTHERS: Final = 0.75
+# Time constant in seconds for measuring a kind's use. It is several times the
+# refill time of the bucket, so that a single burst makes no kind a bulk kind.
+_USAGE_WINDOW: Final = 5.0
+# Assumed bytes per line until a kind has been written; most are about as long.
+_INITIAL_LINE_BYTES: Final = 100.0
+# Weight of the newest lines in the average line size of a kind.
+_LINE_SIZE_WEIGHT: Final = 0.25
 
 
-class Share:
-    """One kind's lines.
+class KindBuffer:
+    """Pending decisions and usage of one kind of line.
 
     Attributes:
-        kind: The kind.
-        size: Bytes that one of its lines typically takes.
-        waiting: Bytes of its lines that wait to be written.
-        noted: Decisions that aren't encoded yet.
-        dropped: Decisions that were not written, since the start.
-        refused_until: Until when no more is taken, monotonic.
+        kind: Kind of the decisions.
+        line_bytes: Moving average of the bytes per decision.
+        queued_bytes: Bytes of encoded lines that are not written yet.
+        pending: Decisions that are not encoded yet.
+        dropped: Number of decisions dropped since the start.
+        refused_until: Monotonic time until which decisions are dropped.
     """
 
     def __init__(self, kind: str) -> None:
-        """Has written nothing yet."""
+        """Initializes an empty buffer for a kind."""
         self.kind = kind
-        self.size = _FIRST_SIZE
-        self.waiting = 0
-        self.noted: list[Noted] = []
+        self.line_bytes = _INITIAL_LINE_BYTES
+        self.queued_bytes = 0
+        self.pending: list[TimedDecision] = []
         self.dropped = 0
         self.refused_until = float("-inf")
-        self._taken = 0.0
-        self._taken_at = 0.0
+        self._recent_bytes = 0.0
+        self._charged_at = 0.0
 
-    def take(self, size: float, now: float) -> None:
-        """Counts bytes as taken; negative ones were given back."""
-        self._taken = self.taken(now) + size
-        self._taken_at = now
+    def charge(self, size: float, now: float) -> None:
+        """Adds bytes to the recent use; negative for a refund."""
+        self._recent_bytes = self.recent_bytes(now) + size
+        self._charged_at = now
 
-    def taken(self, now: float) -> float:
-        """Returns the bytes taken, older ones counted as less."""
-        passed = now - self._taken_at
-        return self._taken * math.exp(-passed / _MEASURED_OVER)
+    def recent_bytes(self, now: float) -> float:
+        """Returns the bytes used recently, with exponential decay."""
+        passed = now - self._charged_at
+        return self._recent_bytes * math.exp(-passed / _USAGE_WINDOW)
 
-    def learn(self, size: float) -> None:
-        """Learns from the bytes that lines took on average."""
-        self.size += (size - self.size) * _SIZE_WEIGHT
+    def update_line_bytes(self, size: float) -> None:
+        """Updates the average line size with that of the newest lines."""
+        self.line_bytes += (size - self.line_bytes) * _LINE_SIZE_WEIGHT
 
 
-class Allowance:
-    """Bytes a second that all kinds share."""
+class TokenBucket:
+    """Limits the bytes per second that all kinds write together."""
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
-        """Takes bytes a second, and how many may gather."""
+        """Initializes a full bucket with bytes a second and its capacity."""
         self._rate = rate
         self._burst = burst
-        self._left = burst
+        self._available = burst
         self._refilled_at = now
 
-    def take(self, share: Share, now: float) -> bool:
-        """Takes what a line of a kind typically needs, or says until when not.
+    def reserve(self, buffer: KindBuffer, now: float) -> bool:
+        """Reserves the average line size of a kind.
+
+        If too few bytes are available, sets the buffer's `refused_until`.
 
         Args:
-            share: The kind's.
-            now: Present time.
+            buffer: Buffer of the kind.
+            now: Monotonic time.
 
         Returns:
-            Whether it was taken.
+            Whether the bytes were reserved.
         """
         self._refill(now)
-        part = share.taken(now) / (self._rate * _MEASURED_OVER)
-        kept = part * _LEFT_TO_OTHERS * self._burst
-        missing = share.size + kept - self._left
+        used_share = buffer.recent_bytes(now) / (self._rate * _USAGE_WINDOW)
+        reserve_bytes = used_share * _RESERVED_FOR_OTHERS * self._burst
+        missing = buffer.line_bytes + reserve_bytes - self._available
         if missing > 0:
-            share.refused_until = now + missing / self._rate
+            buffer.refused_until = now + missing / self._rate
             return False
-        self._left -= share.size
-        share.take(share.size, now)
+        self._available -= buffer.line_bytes
+        buffer.charge(buffer.line_bytes, now)
         return True
 
-    def settle(self, share: Share, asked: float, size: int, now: float) -> bool:
-        """Takes what lines really need instead of what was asked for.
+    def settle(
+        self, buffer: KindBuffer, reserved: float, size: int, now: float
+    ) -> bool:
+        """Replaces a reservation by the actual size of the encoded line.
 
         Args:
-            share: Of their kind.
-            asked: What was taken when they were noted.
-            size: Bytes that they need.
-            now: Present time.
+            buffer: Buffer of the line's kind.
+            reserved: Bytes that were reserved for the line's decisions.
+            size: Bytes of the encoded line.
+            now: Monotonic time.
 
         Returns:
-            Whether they may be written.
+            Whether the line may be written; if not, the bytes are refunded.
         """
-        fits = size <= self._left + asked
-        more = size - asked if fits else -asked
-        self._left = min(self._left - more, self._burst)
-        share.take(more, now)
+        fits = size <= self._available + reserved
+        more = size - reserved if fits else -reserved
+        self._available = min(self._available - more, self._burst)
+        buffer.charge(more, now)
         return fits
 
     def _refill(self, now: float) -> None:
         refill = (now - self._refilled_at) * self._rate
-        self._left = min(self._left + refill, self._burst)
+        self._available = min(self._available + refill, self._burst)
         self._refilled_at = now
 
 
-def leaves_room(share: Share, waiting: int, most: int) -> bool:
-    """Returns whether a kind may add to what waits.
+def fits_in_queue(buffer: KindBuffer, queued: int, limit: int) -> bool:
+    """Returns whether a kind may add a line to the output queue.
 
     Args:
-        share: The kind's.
-        waiting: Bytes that wait, of all kinds.
-        most: As many may.
+        buffer: Buffer of the kind.
+        queued: Bytes of all kinds in the queue.
+        limit: Maximum number of bytes in the queue.
     """
-    kept = share.waiting * _LEFT_TO_OTHERS
-    return waiting + share.size + kept <= most
+    reserve_bytes = buffer.queued_bytes * _RESERVED_FOR_OTHERS
+    return queued + buffer.line_bytes + reserve_bytes <= limit
--- a/pimentocross/observe/tables.py
+++ b/pimentocross/observe/tables.py
@@ -1,7 +1,7 @@
-"""Several decisions of a kind in one line, and back.
+"""Packs several decisions of a kind into one log line, and unpacks them.
 
-A table's line holds once what its decisions have in common, and then a row for
-each; that takes a third of the bytes and of the time of a line each.
+The line of a table holds the common fields once, and a row of the others for
+each decision. This takes a third of the bytes and time of separate lines.
 """
 
 from collections.abc import Iterator, Sequence
@@ -9,38 +9,38 @@
 
 _COLUMNS: Final = "columns"
 _ROWS: Final = "rows"
-# Milliseconds by which a row is later than its line.
-_LATER: Final = "ms"
+# Column with the milliseconds between the time of the line and of the row.
+_OFFSET_MS: Final = "ms"
 _TIME: Final = "t"
-# With fewer the columns' names take more than is saved.
-TABLE_LEAST: Final = 3
+# With fewer rows, the column names take more bytes than the table saves.
+MIN_TABLE_ROWS: Final = 3
 
 
-# A decision: when, seconds since 1970, and its fields.
-Noted = tuple[float, dict[str, object]]
+# Time of a decision, in seconds since 1970, and its fields.
+TimedDecision = tuple[float, dict[str, object]]
 
 
-def pack(noted: Sequence[Noted]) -> dict[str, object]:
-    """Returns the fields of one line for decisions with the same names."""
-    if len(noted) < TABLE_LEAST:
-        raise ValueError(f"{len(noted)} decisions are no table")
-    began, first = noted[0]
+def pack(decisions: Sequence[TimedDecision]) -> dict[str, object]:
+    """Returns a line's fields for decisions with the same field names."""
+    if len(decisions) < MIN_TABLE_ROWS:
+        raise ValueError(f"{len(decisions)} decisions are too few for a table")
+    start, first = decisions[0]
     fields: dict[str, object] = {}
     columns: dict[str, Sequence[object]] = {}
     for name, common in first.items():
-        values = [each[name] for _, each in noted]
+        values = [fields_of_row[name] for _, fields_of_row in decisions]
         if values.count(common) == len(values):
             fields[name] = common
         else:
             columns[name] = values
-    columns[_LATER] = [round(1e3 * (at - began)) for at, _ in noted]
+    columns[_OFFSET_MS] = [round(1e3 * (at - start)) for at, _ in decisions]
     fields[_COLUMNS] = list(columns)
     fields[_ROWS] = list(zip(*columns.values(), strict=True))
     return fields
 
 
 def unpack(line: dict[str, Any]) -> Iterator[dict[str, Any]]:
-    """Yields each decision of a line as a line of its own."""
+    """Yields a separate line for each decision of a line."""
     rows, names = line.get(_ROWS), line.get(_COLUMNS)
     if rows is None or names is None:
         yield line
@@ -48,5 +48,5 @@
     common = {k: v for k, v in line.items() if k not in (_COLUMNS, _ROWS)}
     for row in rows:
         own = dict(zip(names, row, strict=True))
-        later = own.pop(_LATER, 0) / 1e3
-        yield common | own | {_TIME: round(common[_TIME] + later, 3)}
+        offset = own.pop(_OFFSET_MS, 0) / 1e3
+        yield common | own | {_TIME: round(common[_TIME] + offset, 3)}
--- a/pimentocross/owner/intake.py
+++ b/pimentocross/owner/intake.py
@@ -167,7 +167,7 @@
         # Its VM may have known an older or a newer form of the queue.
         job.queue = self._config().newest_form(job.queue)
         note("job_taken_up", job=job_id, queue=job.queue.name)
-        meters.add_taken_up("submission")
+        meters.add_intake_processed("submission")
         self._wake()
         return self._book.take_in(job)
 
@@ -176,7 +176,7 @@
         if job is None or job.ended:
             return None
         note("job_cancelled", job=job_id, state=job.state.value)
-        meters.add_taken_up("cancel")
+        meters.add_intake_processed("cancel")
         self._wake()
         return self._book.cancel(job)
 
--- a/pimentocross/platform/__init__.py
+++ b/pimentocross/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The users' platform: translates its wire form to the product's types.
+"""Adapter for the users' platform: translates its wire formats and names.
 
-Nothing outside this folder knows the platform's names.
+Names that the platform uses on the wire occur in this package only.
 """
--- a/pimentocross/platform/__main__.py
+++ b/pimentocross/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Runs an entry VM's process on the users' platform."""
+"""Entry point of an entry VM's process on the users' platform."""
 
 import gc
 import signal
@@ -14,9 +14,9 @@
 from pimentocross.owner.terms import make_terms
 from pimentocross.platform.adviser import HttpAdviser
 from pimentocross.platform.callers import (
-    CallerSurface,
-    MetricsSurface,
-    ReadySurface,
+    CallerHandler,
+    MetricsHandler,
+    ReadinessHandler,
 )
 from pimentocross.platform.settings import (
     SettingsError,
@@ -24,29 +24,31 @@
     settings_path,
 )
 from pimentocross.platform.store import StoreClient
-from pimentocross.platform.topics import OperatorTopic, ServerTopic
+from pimentocross.platform.topics import OperatorTopic, WorkerTopic
 from pimentocross.platform.workers import HttpWorkerDialer
 
-_USAGE = 2
-# Objects made, less those freed, before cycles are looked for among them. At
-# Python's 700 that took an owner of 246 workers an eighth of its processor
-# time, for garbage that hardly ever has cycles; now a sixtieth.
-_MADE_BEFORE_COLLECTING: Final = 10_000
-# Collections of one generation before one of the next. An owner's full ones
-# look only through what came since the last: the more often, the shorter.
-_BEFORE_MIDDLE: Final = 5
-_BEFORE_FULL: Final = 0
-
-
-def build(settings: GatewaySettings) -> tuple[GatewayNode, HttpHandlers]:
-    """Returns the process's parts, and what answers its HTTP requests."""
+_EXIT_USAGE = 2
+# Net allocations that trigger a collection of the youngest generation. With
+# Python's default of 700, collections took an eighth of the CPU time of an
+# owner of 246 workers, although its garbage hardly ever has cycles; with this
+# value they take a sixtieth.
+_GC_YOUNG_THRESHOLD: Final = 10_000
+# Collections of one generation that trigger one of the next. An owner's full
+# collections scan only objects allocated since the previous one, so they are
+# shorter if they run more often.
+_GC_MIDDLE_THRESHOLD: Final = 5
+_GC_FULL_THRESHOLD: Final = 0
+
+
+def build_node(settings: GatewaySettings) -> tuple[GatewayNode, HttpHandlers]:
+    """Returns the entry VM's node and the handlers of its HTTP requests."""
     store = StoreClient(settings.store_address)
     adviser = None
     if settings.adviser_address:
         adviser = HttpAdviser(settings.adviser_address)
     platform = CellPlatform(
         store,
-        ServerTopic(store),
+        WorkerTopic(store),
         HttpWorkerDialer(),
         adviser,
         make_terms(
@@ -55,52 +57,54 @@
         switches=settings.switches,
     )
     node = GatewayNode(settings, platform, OperatorTopic(store))
-    surfaces = HttpHandlers(
-        CallerSurface(node.desk).handle,
-        ReadySurface(node.desk).handle,
-        MetricsSurface(node.desk, node.gauges).handle,
+    handlers = HttpHandlers(
+        CallerHandler(node.desk).handle,
+        ReadinessHandler(node.desk).handle,
+        MetricsHandler(node.desk, node.gauges).handle,
     )
-    return node, surfaces
+    return node, handlers
 
 
 async def _run(settings: GatewaySettings) -> None:
-    node, surfaces = build(settings)
+    node, handlers = build_node(settings)
     async with trio.open_nursery() as nursery:
-        await nursery.start(_follow_signals, node)
-        await node.run(surfaces)
+        await nursery.start(_handle_signals, node)
+        await node.run(handlers)
         nursery.cancel_scope.cancel()
 
 
-async def _follow_signals(
+async def _handle_signals(
     node: GatewayNode, *, task_status: trio.TaskStatus[None]
 ) -> None:
-    wanted = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-    with trio.open_signal_receiver(*wanted) as signals:
+    handled = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+    with trio.open_signal_receiver(*handled) as signals:
         task_status.started()
         async for number in signals:
             if number == signal.SIGHUP:
-                # Addresses don't change within a process's life, and the
-                # configuration comes through the store.
+                # A reload changes nothing: addresses are fixed while a process
+                # runs, and the configuration is read from the store.
                 note("reload", outcome="nothing that is used may change")
             else:
                 node.request_stop()
 
 
-def prepare() -> None:
-    """Sets what holds for the whole process."""
-    gc.set_threshold(_MADE_BEFORE_COLLECTING, _BEFORE_MIDDLE, _BEFORE_FULL)
+def configure_collector() -> None:
+    """Sets the garbage collector's thresholds for the whole process."""
+    gc.set_threshold(
+        _GC_YOUNG_THRESHOLD, _GC_MIDDLE_THRESHOLD, _GC_FULL_THRESHOLD
+    )
 
 
 def main() -> int:
-    """Runs until stopped; returns the exit code."""
+    """Runs the process until it is stopped and returns its exit code."""
     try:
         settings = read_settings(settings_path())
     except SettingsError as error:
         for finding in error.findings:
             sys.stderr.write(f"pimentocross: {finding}\n")
-        return _USAGE
+        return _EXIT_USAGE
     enable(settings.name)
-    prepare()
+    configure_collector()
     trio.run(_run, settings)
     return 0
 
--- a/pimentocross/platform/adviser.py
+++ b/pimentocross/platform/adviser.py
@@ -1,4 +1,4 @@
-"""Client of the platform's service that knows who may run a step."""
+"""Client of the platform's adviser, which says which workers may run a step."""
 
 from collections.abc import Sequence
 
@@ -15,7 +15,7 @@
 
 
 class _Reply(msgspec.Struct):
-    # Rows of a worker's id and its ticket.
+    # Pairs of a worker's id and its ticket.
     good: list[tuple[str, str]] = []
     validity_ms: float = 0
 
@@ -24,16 +24,16 @@
 
 
 class HttpAdviser:
-    """The service over HTTP; see `Adviser`."""
+    """Calls the adviser over HTTP; see `Adviser`."""
 
     def __init__(self, address: str) -> None:
-        """Takes the service's host:port."""
+        """Initializes the client with the adviser's host:port."""
         self._pool = HttpPool(address)
 
     async def advise(
         self, step: StepName, workers: Sequence[str], timeout: float
     ) -> Advice:
-        """Returns tickets; see `Adviser`."""
+        """Returns tickets of the workers that may run a step; see `Adviser`."""
         body = msgspec.json.encode(
             {
                 "step": f"{step.job}.{step.occurrence}.{step.step}",
--- a/pimentocross/platform/callers.py
+++ b/pimentocross/platform/callers.py
@@ -1,4 +1,4 @@
-"""What callers send, and what they are answered, in the platform's form."""
+"""HTTP handlers for callers, metrics and readiness checks."""
 
 from collections.abc import Callable
 import math
@@ -21,8 +21,8 @@
 _TEXT: Final = (b"content-type", b"text/plain")
 _READY_PATH: Final = "/pimentocross/readyz"
 _DEADLINE_HEADER: Final = b"x-deadline-ms"
-# Callers that don't say how long they wait.
-_DEADLINE_MS: Final = 3000.0
+# Deadline for callers that send no valid one.
+_DEFAULT_DEADLINE_MS: Final = 3000.0
 Gauges = Callable[[], dict[str, float]]
 _JSON: Final = (b"content-type", b"application/json")
 
@@ -40,30 +40,34 @@
 }
 
 
-class CallerSurface:
-    """Answers callers' requests."""
+class CallerHandler:
+    """Handles callers' requests: submits, queries and cancels jobs."""
 
-    def __init__(self, desk: CallerDesk) -> None:
-        """Takes what decides."""
-        self._desk = desk
+    def __init__(self, request_handler: CallerDesk) -> None:
+        """Initializes the handler with what carries out the requests."""
+        self._request_handler = request_handler
 
     async def handle(self, request: HttpRequest) -> HttpReply:
-        """Answers one request."""
+        """Returns the reply to a request."""
         host = request.header(b"host").partition(":")[0]
         deadline = _deadline(request)
         path = request.path
         if request.method == "POST":
             return await self._submit(host, path, request.body, deadline)
         if request.method == "GET":
-            return _reply(await self._desk.look(host, path, deadline))
+            return _reply(
+                await self._request_handler.look(host, path, deadline)
+            )
         if request.method == "DELETE":
-            return _reply(await self._desk.cancel(host, path, deadline))
+            return _reply(
+                await self._request_handler.cancel(host, path, deadline)
+            )
         return HttpReply(405, [(b"allow", b"GET, POST, DELETE")], b"")
 
     async def _submit(
         self, host: str, path: str, body: bytes, deadline: float
     ) -> HttpReply:
-        found = await self._desk.find(host, path)
+        found = await self._request_handler.find(host, path)
         if isinstance(found, Answer):
             return _reply(found)
         try:
@@ -72,51 +76,51 @@
         except (WireError, SpecError) as error:
             content = msgspec.json.encode({"error": str(error)})
             return HttpReply(400, [_JSON], content)
-        return _reply(await self._desk.submit(found, spec, deadline))
+        return _reply(await self._request_handler.submit(found, spec, deadline))
 
 
-class MetricsSurface:
-    """Serves counters and histograms."""
+class MetricsHandler:
+    """Serves the metrics page and the newest lines of the decision log."""
 
-    def __init__(self, desk: CallerDesk, gauges: Gauges) -> None:
-        """Takes the desk, and what returns present values."""
-        self._desk = desk
+    def __init__(self, request_handler: CallerDesk, gauges: Gauges) -> None:
+        """Initializes the handler with the sources of histograms and gauges."""
+        self._request_handler = request_handler
         self._gauges = gauges
 
     async def handle(self, request: HttpRequest) -> HttpReply:
-        """Answers one request."""
+        """Returns the reply to a request."""
         if request.path == _METRICS_PATH:
-            page = render(self._desk.histograms, self._gauges())
+            page = render(self._request_handler.histograms, self._gauges())
             return HttpReply(200, [_TEXT], page)
         if request.path == DECISIONS_PATH:
             return HttpReply(200, [_TEXT], recent())
         return HttpReply(404, [], b"")
 
 
-class ReadySurface:
-    """Tells the platform whether this VM takes callers."""
+class ReadinessHandler:
+    """Serves the readiness check: 200 if this VM accepts callers, else 503."""
 
-    def __init__(self, desk: CallerDesk) -> None:
-        """Takes what knows."""
-        self._desk = desk
+    def __init__(self, request_handler: CallerDesk) -> None:
+        """Initializes the handler with what tracks the readiness."""
+        self._request_handler = request_handler
 
     async def handle(self, request: HttpRequest) -> HttpReply:
-        """Answers one request."""
+        """Returns the reply to a request."""
         if request.path != _READY_PATH:
             return HttpReply(404, [], b"")
-        return HttpReply(200 if self._desk.ready() else 503, [], b"")
+        return HttpReply(200 if self._request_handler.ready() else 503, [], b"")
 
 
 def _deadline(request: HttpRequest) -> float:
-    """Returns the seconds that the caller waits for."""
-    told = request.header(_DEADLINE_HEADER)
+    """Returns for how many seconds the caller waits for an answer."""
+    header_value = request.header(_DEADLINE_HEADER)
     try:
-        milliseconds = float(told or _DEADLINE_MS)
+        milliseconds = float(header_value or _DEFAULT_DEADLINE_MS)
     except ValueError:
-        milliseconds = _DEADLINE_MS
+        milliseconds = _DEFAULT_DEADLINE_MS
     if not math.isfinite(milliseconds):
-        milliseconds = _DEADLINE_MS
-    # A timeout below 0 is an error that would end the process.
+        milliseconds = _DEFAULT_DEADLINE_MS
+    # A timeout below 0 would raise an error that ends the process.
     return max(milliseconds, 0.0) / 1000
 
 
--- a/pimentocross/platform/settings.py
+++ b/pimentocross/platform/settings.py
@@ -1,4 +1,4 @@
-"""Reads the platform's settings file: lines of the form a.b=value."""
+"""Reads the platform's settings file, which has lines of the form a.b=value."""
 
 from collections.abc import Mapping
 import os
@@ -13,37 +13,37 @@
 from pimentocross.gateway.settings import GatewaySettings
 
 _METRICS_VARIABLE: Final = "PIMENTOCROSS_METRICS_PORT"
-# As deploy/system.toml tells the platform.
-_METRICS_PORT: Final = "9464"
-# What the users' pages give where the settings leave a bound out.
-_MAX_HOLD_MS: Final = 6000.0
-_STATUS_S: Final = 120.0
-_CONFIG_APPLY_MS: Final = 2000.0
-_MAX_FDS: Final = 4096.0
-# Names of parts that are switched off, separated by commas.
+# The port that deploy/system.toml declares to the platform.
+_DEFAULT_METRICS_PORT: Final = "9464"
+# Defaults for bounds that the settings file omits, from the users' pages.
+_DEFAULT_MAX_HOLD_MS: Final = 6000.0
+_DEFAULT_STATUS_S: Final = 120.0
+_DEFAULT_CONFIG_APPLY_MS: Final = 2000.0
+_DEFAULT_MAX_FDS: Final = 4096.0
+# Comma-separated names of the parts that are switched off.
 _PARTS_OFF_VARIABLE: Final = "PIMENTOCROSS_PARTS_OFF"
 _PATH_VARIABLE: Final = "PIMENTOCROSS_BOOT"
 _COMMENT: Final = "#"
 
 
 class SettingsError(Exception):
-    """A settings file that can't be used.
+    """The settings file is missing or invalid.
 
     Attributes:
-        findings: What is wrong, each with its place.
+        findings: Description of each error, with its location.
     """
 
     def __init__(self, findings: list[str]) -> None:
-        """Takes the findings."""
+        """Initializes the error with a description of each problem."""
         super().__init__("; ".join(findings))
         self.findings = findings
 
 
 def settings_path() -> Path:
-    """Returns where the platform put the settings.
+    """Returns the path of the settings file, from the environment.
 
     Raises:
-        SettingsError: It did not say.
+        SettingsError: The environment variable is not set.
     """
     path = os.environ.get(_PATH_VARIABLE, "")
     if not path:
@@ -52,41 +52,45 @@
 
 
 def read_settings(path: Path) -> GatewaySettings:
-    """Reads a settings file; fields that it doesn't know are ignored.
+    """Reads a settings file; unknown fields are ignored.
 
     Raises:
-        SettingsError: With all findings.
+        SettingsError: The file is unreadable or invalid; names all errors.
     """
     try:
         text = path.read_text("utf-8")
     except (OSError, UnicodeDecodeError) as error:
         raise SettingsError([f"{path}: {error}"]) from error
     findings: list[str] = []
-    values = _split(path, text, findings)
+    values = _parse_lines(path, text, findings)
 
-    def need(name: str) -> str:
+    def require(name: str) -> str:
         value = values.get(name, "")
         if not value:
             findings.append(f"{path}: {name} is missing")
         return value
 
     settings = GatewaySettings(
-        name=need("node_name"),
-        zone=need("zone"),
-        ip=need("ip"),
-        caller_address=need("listen_addrs.frontend"),
-        ready_address=need("listen_addrs.ready"),
-        peer_port=_port(need("internal_ports").partition(",")[0], findings),
+        name=require("node_name"),
+        zone=require("zone"),
+        ip=require("ip"),
+        caller_address=require("listen_addrs.frontend"),
+        ready_address=require("listen_addrs.ready"),
+        peer_port=_port(require("internal_ports").partition(",")[0], findings),
         metrics_port=_port(
-            os.environ.get(_METRICS_VARIABLE, _METRICS_PORT), findings
+            os.environ.get(_METRICS_VARIABLE, _DEFAULT_METRICS_PORT), findings
         ),
-        store_address=need("platform.address"),
+        store_address=require("platform.address"),
         adviser_address=values.get("recommendation", ""),
-        lease_most=_number(values, "bounds.max_hold_ms", _MAX_HOLD_MS, findings)
+        lease_most=_number(
+            values, "bounds.max_hold_ms", _DEFAULT_MAX_HOLD_MS, findings
+        )
         / 1000,
-        ended_least=_number(values, "bounds.status_s", _STATUS_S, findings),
+        ended_least=_number(
+            values, "bounds.status_s", _DEFAULT_STATUS_S, findings
+        ),
         config_within=_number(
-            values, "bounds.config_apply_ms", _CONFIG_APPLY_MS, findings
+            values, "bounds.config_apply_ms", _DEFAULT_CONFIG_APPLY_MS, findings
         )
         / 1000,
         evacuated_within=_number(
@@ -94,8 +98,10 @@
         )
         / 1000,
         grace=_number(values, "bounds.grace_s", 6.0, findings),
-        descriptors=int(_number(values, "limits.max_fds", _MAX_FDS, findings)),
-        # So much of a core, which is so many times as fast as one.
+        descriptors=int(
+            _number(values, "limits.max_fds", _DEFAULT_MAX_FDS, findings)
+        ),
+        # Share of a core times its speed relative to a standard core.
         cores=_number(values, "limits.cpu_share", 0.0, findings)
         * _number(values, "limits.cpu_cores", 1.0, findings),
         switches=_switches(findings),
@@ -105,7 +111,9 @@
     return settings
 
 
-def _split(path: Path, text: str, findings: list[str]) -> Mapping[str, str]:
+def _parse_lines(
+    path: Path, text: str, findings: list[str]
+) -> Mapping[str, str]:
     values = {}
     for number, line in enumerate(text.splitlines(), 1):
         line = line.strip()
@@ -120,7 +128,7 @@
 
 def _port(text: str, findings: list[str]) -> int:
     if text and not text.isdigit():
-        findings.append(f"{text!r} is no port")
+        findings.append(f"{text!r} is not a port number")
     return int(text) if text.isdigit() else 0
 
 
--- a/pimentocross/platform/store.py
+++ b/pimentocross/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store: topics of one partition, records by key."""
+"""Client of the platform's store: single-partition topics of keyed records."""
 
 import base64
 from collections.abc import Sequence
@@ -22,50 +22,50 @@
 from pimentocross.links.http_pool import HttpCallError, HttpPool
 from pimentocross.observe.decisions import note
 
-# Topics that keep the newest record of each key begin with this.
-_KEYED: Final = "keyed."
-_LENGTH: Final = struct.Struct(">I")
-_BOUNDS: Final = struct.Struct(">QQ")
+# Prefix of topics that keep only the newest record of each key.
+_COMPACTED_PREFIX: Final = "keyed."
+_RECORD_LENGTH: Final = struct.Struct(">I")
+_READ_BOUNDS: Final = struct.Struct(">QQ")
 _OK: Final = 200
 _CONFLICT: Final = 409
 _GONE: Final = 410
-_CONDITION: Final = 412
-# Longest answer to a read, in KB.
-_READ_KB: Final = 1024
+_PRECONDITION_FAILED: Final = 412
+# Maximum size of a reply to a read, in KB.
+_MAX_READ_KB: Final = 1024
 
 
-class _Appended(msgspec.Struct):
+class _AppendReply(msgspec.Struct):
     offset: int = 0
     end_offset: int = 0
     reason: str = ""
-    # With reason "seq": the number that is expected.
+    # With reason "seq", one of these holds the expected sequence number.
     sequence: int = 0
     expected: int = -1
 
 
-class _Item(msgspec.Struct):
+class _NewestItem(msgspec.Struct):
     key: str
     value: str
     offset: int
 
 
-class _Newest(msgspec.Struct):
-    # Each is read by itself, as another writer's may not be readable.
+class _NewestReply(msgspec.Struct):
+    # Each item is decoded separately, as other writers' may be invalid.
     items: list[msgspec.Raw]
     end_offset: int
     has_more: bool = False
 
 
-_decode_appended = msgspec.json.Decoder(_Appended).decode
-_decode_newest = msgspec.json.Decoder(_Newest).decode
-_decode_item = msgspec.json.Decoder(_Item).decode
+_decode_append_reply = msgspec.json.Decoder(_AppendReply).decode
+_decode_newest = msgspec.json.Decoder(_NewestReply).decode
+_decode_item = msgspec.json.Decoder(_NewestItem).decode
 
 
 class StoreClient:
-    """Speaks to the store; one connection for each call in flight."""
+    """Calls the store over HTTP, using a connection per call in flight."""
 
     def __init__(self, address: str) -> None:
-        """Takes the store's host:port."""
+        """Initializes the client with the store's host:port."""
         self._pool = HttpPool(address)
 
     async def append(
@@ -79,23 +79,26 @@
         fresh: bool = False,
     ) -> int:
         """Appends records; see `Store`."""
-        query: dict[str, str | int] = {"topic": _KEYED + topic, "part": 0}
+        query: dict[str, str | int] = {
+            "topic": _COMPACTED_PREFIX + topic,
+            "part": 0,
+        }
         if at is not None:
             query["at"] = at
         if mark is not None:
             query["producer_id"] = mark.producer
             query["epoch"] = mark.epoch
             query["sequence"] = mark.sequence
-        body = b"".join(_frame(record) for record in records)
+        body = b"".join(_encode_record(record) for record in records)
         reply = await self._call(
             "POST", "/pimentocross/log-append", query, body, timeout, fresh
         )
         if reply.status == _OK:
-            return _decode(reply).offset
-        if reply.status == _CONDITION:
-            raise ConditionFailedError(_decode(reply).end_offset)
+            return _read_append_reply(reply).offset
+        if reply.status == _PRECONDITION_FAILED:
+            raise ConditionFailedError(_read_append_reply(reply).end_offset)
         if reply.status == _CONFLICT:
-            raise _conflict(reply)
+            raise _conflict_error(reply)
         raise StoreUnavailableError(
             f"append: status {reply.status}", sent=False
         )
@@ -111,10 +114,10 @@
     ) -> Page:
         """Reads records; see `Store`."""
         query: dict[str, str | int] = {
-            "topic": _KEYED + topic,
+            "topic": _COMPACTED_PREFIX + topic,
             "part": 0,
             "from": start,
-            "max_kb": _READ_KB,
+            "max_kb": _MAX_READ_KB,
         }
         if wait > 0:
             query["wait_ms"] = int(wait * 1000)
@@ -135,7 +138,10 @@
         """Returns the newest record of each key; see `Store`."""
         records: list[Record] = []
         end = -1
-        query: dict[str, str | int] = {"topic": _KEYED + topic, "part": 0}
+        query: dict[str, str | int] = {
+            "topic": _COMPACTED_PREFIX + topic,
+            "part": 0,
+        }
         while True:
             reply = await self._call(
                 "GET", "/pimentocross/log-newest", query, b"", timeout, fresh
@@ -179,8 +185,8 @@
             raise StoreUnavailableError(str(error), sent=error.sent) from error
 
 
-def _conflict(reply: HttpReply) -> Exception:
-    answer = _decode(reply)
+def _conflict_error(reply: HttpReply) -> Exception:
+    answer = _read_append_reply(reply)
     if answer.reason == "fenced":
         return FencedError()
     if answer.reason == "seq":
@@ -189,21 +195,21 @@
     return StoreUnavailableError(f"append: {answer.reason}", sent=False)
 
 
-def _decode(reply: HttpReply) -> _Appended:
+def _read_append_reply(reply: HttpReply) -> _AppendReply:
     try:
-        return _decode_appended(reply.body)
+        return _decode_append_reply(reply.body)
     except msgspec.DecodeError as error:
         raise StoreUnavailableError(str(error), sent=True) from error
 
 
-def _frame(record: Record) -> bytes:
+def _encode_record(record: Record) -> bytes:
     key = record.key.encode()
     content = bytes([len(key)]) + key + (record.value or b"")
-    return _LENGTH.pack(len(content)) + content
+    return _RECORD_LENGTH.pack(len(content)) + content
 
 
 def _read_item(item: msgspec.Raw, topic: str) -> Record | None:
-    """Returns the record of an item, or None if it can't be read."""
+    """Decodes an item; logs and returns None if it is invalid."""
     try:
         read = _decode_item(item)
         value = base64.b64decode(read.value, validate=True)
@@ -215,25 +221,28 @@
 
 def _read_page(body: bytes, start: int) -> Page:
     try:
-        end, _ = _BOUNDS.unpack_from(body)
-        position = _BOUNDS.size
+        end, _ = _READ_BOUNDS.unpack_from(body)
+        position = _READ_BOUNDS.size
         records = []
         offset = start
         while position < len(body):
-            (length,) = _LENGTH.unpack_from(body, position)
-            position += _LENGTH.size
+            (length,) = _RECORD_LENGTH.unpack_from(body, position)
+            position += _RECORD_LENGTH.size
             content = body[position : position + length]
             position += length
-            records.append(_read_content(content, offset))
+            records.append(_decode_record(content, offset))
             offset += 1
     except struct.error as error:
         raise StoreUnavailableError(f"read: {error}", sent=False) from error
     return Page(records, end)
 
 
-def _read_content(content: bytes, offset: int) -> Record:
-    """Reads one record; any bytes give one, as offsets count them all."""
+def _decode_record(content: bytes, offset: int) -> Record:
+    """Decodes one record of a page.
+
+    Any bytes result in a record, as each record on the page has an offset.
+    """
     key_length = content[0] if content else 0
-    # A key that isn't text becomes one that no other record has.
+    # Escaping turns a key that isn't valid text into a distinct valid one.
     key = content[1 : 1 + key_length].decode(errors="backslashreplace")
     return Record(key, content[1 + key_length :] or None, offset)
--- a/pimentocross/platform/topics.py
+++ b/pimentocross/platform/topics.py
@@ -1,4 +1,4 @@
-"""What the platform and its operator keep in the store for all to read."""
+"""Readers of the platform's topics: configuration, evacuations, workers."""
 
 import trio
 
@@ -13,19 +13,23 @@
 
 _OPERATOR_TOPIC = "op"
 _CONFIG_KEY = "config"
-# What follows names a zone; the record's value tells nothing more.
+# The rest of the key is the zone's name; the record's value is not used.
 _EVACUATE_PREFIX = "evacuate/"
 _SERVERS_TOPIC = "servers"
-# Keys that are remembered as unreadable; others beyond are dropped unlogged, so
-# that a writer of ever new keys fills neither memory nor log.
-_UNREADABLE_MOST = 1000
+# Maximum number of keys that are logged and remembered as unreadable. Further
+# ones are ignored without a log line, so that a writer that keeps adding keys
+# can't fill the memory or the log.
+_MAX_UNREADABLE_KEYS = 1000
 
 
 class OperatorTopic:
-    """The operator's configuration and evacuations of zones."""
+    """Reads the operator's configuration and the evacuated zones.
+
+    Implements `ConfigSource`.
+    """
 
     def __init__(self, store: Store) -> None:
-        """Takes the store."""
+        """Initializes the reader with the store."""
         self._reader = TopicReader(store, _OPERATOR_TOPIC)
         self._evacuated: set[str] = set()
 
@@ -36,14 +40,14 @@
         again_after: float = AGAIN_AFTER,
         urgent: trio.Event | None = None,
     ) -> ConfigNews:
-        """Returns the newest configuration, if new; see `ConfigSource`."""
-        news = await self._reader.read(wait, timeout, again_after, urgent)
-        if news.whole:
-            # Removals may have expired: what isn't told now isn't there.
+        """Returns the newest configuration if new; see `ConfigSource`."""
+        update = await self._reader.read(wait, timeout, again_after, urgent)
+        if update.whole:
+            # Removal records may have expired: only listed keys exist.
             self._evacuated.clear()
         found: WorkConfig | None = None
-        for record in news.records:
-            self._take_evacuation(record)
+        for record in update.records:
+            self._apply_evacuation(record)
             if record.key != _CONFIG_KEY or record.value is None:
                 continue
             try:
@@ -54,10 +58,10 @@
             if found is None or config.version > found.version:
                 found = config
         return ConfigNews(
-            found, news.known_at, news.asked_at, frozenset(self._evacuated)
+            found, update.known_at, update.asked_at, frozenset(self._evacuated)
         )
 
-    def _take_evacuation(self, record: Record) -> None:
+    def _apply_evacuation(self, record: Record) -> None:
         if not record.key.startswith(_EVACUATE_PREFIX):
             return
         zone = record.key.removeprefix(_EVACUATE_PREFIX)
@@ -67,32 +71,32 @@
             self._evacuated.add(zone)
 
 
-class ServerTopic:
-    """The workers' entries; see `WorkerDirectory`."""
+class WorkerTopic:
+    """Reads the entries that workers write; see `WorkerDirectory`."""
 
     def __init__(self, store: Store) -> None:
-        """Takes the store."""
+        """Initializes the reader with the store."""
         self._reader = TopicReader(store, _SERVERS_TOPIC)
         self._lives: dict[str, WorkerLife] = {}
-        # Keys whose newest entry can't be read, so that each is logged once.
+        # Keys whose newest entry is invalid; each is logged once.
         self._unreadable: set[str] = set()
 
     async def poll(self, timeout: float) -> list[WorkerLife]:
-        """Returns all that are listed now; see `WorkerDirectory`.
+        """Returns all workers listed now; see `WorkerDirectory`.
 
-        An entry that can't be read lists no worker, also where one that could
-        stood under its key before: another writer may have put it there.
+        An invalid entry lists no worker, even if the previous entry under its
+        key was valid, as other writers may write entries too.
         """
-        news = await self._reader.read(0.0, timeout)
-        if news.whole:
-            # Removals may have expired: what isn't told now isn't there.
+        update = await self._reader.read(0.0, timeout)
+        if update.whole:
+            # Removal records may have expired: only listed keys exist.
             self._lives.clear()
-        for record in news.records:
-            self._take(record)
+        for record in update.records:
+            self._apply_record(record)
         await trio.lowlevel.checkpoint()
         return list(self._lives.values())
 
-    def _take(self, record: Record) -> None:
+    def _apply_record(self, record: Record) -> None:
         self._lives.pop(record.key, None)
         if record.value is None:
             self._unreadable.discard(record.key)
@@ -100,13 +104,16 @@
         try:
             life = read_worker(record.key, record.value)
         except WireError as error:
-            self._note_unreadable(record.key, str(error))
+            self._log_unreadable(record.key, str(error))
             return
         self._lives[record.key] = life
         self._unreadable.discard(record.key)
 
-    def _note_unreadable(self, key: str, reason: str) -> None:
-        if key in self._unreadable or len(self._unreadable) >= _UNREADABLE_MOST:
+    def _log_unreadable(self, key: str, reason: str) -> None:
+        if (
+            key in self._unreadable
+            or len(self._unreadable) >= _MAX_UNREADABLE_KEYS
+        ):
             return
         self._unreadable.add(key)
         note("worker_unreadable", worker=key, reason=reason)
--- a/pimentocross/platform/wire.py
+++ b/pimentocross/platform/wire.py
@@ -1,6 +1,6 @@
-"""Bodies of the platform's calls, with its names, and their meaning here.
+"""Bodies of the platform's calls, and their translation to internal types.
 
-Fields that these types leave out are ignored: the platform may add some.
+Unknown fields are ignored, as the platform may add some.
 """
 
 import functools
@@ -25,41 +25,41 @@
 from pimentocross.work.spec import JobSpec, Size, StepSpec, TaskName
 
 _MS = 1000.0
-# Names of tasks that are listed again and again: more than twice what 246
-# workers of 25 runs have, in 2 MB.
-_NAMES_KEPT: Final = 16_384
+# Maximum number of cached task names, as workers list the same ones repeatedly.
+# More than twice the number on 246 workers with 25 runs each; takes 2 MB.
+_TASK_NAME_CACHE_SIZE: Final = 16_384
 
 
 class WireError(Exception):
-    """A body that does not have the expected form."""
+    """A body does not have the expected format."""
 
 
-# The most that is believed of a worker, in thousandths of a core, megabytes and
-# accelerators: far beyond any machine, so that a wild figure is refused.
-_AMOUNT_MOST = 100_000_000
-_GPUS_MOST = 1_000
-# A day: no worker announces its leaving earlier.
-_REMAINING_MS_MOST = 86_400_000
-_Amount = Annotated[int, msgspec.Meta(gt=0, le=_AMOUNT_MOST)]
+# Upper bounds for a worker's capacity in thousandths of a core, megabytes and
+# accelerators: far beyond any VM, so that only corrupt values are rejected.
+_MAX_AMOUNT = 100_000_000
+_MAX_GPUS = 1_000
+# A day: workers announce that they leave at most that far in advance.
+_MAX_REMAINING_MS = 86_400_000
+_Amount = Annotated[int, msgspec.Meta(gt=0, le=_MAX_AMOUNT)]
 _HOST_AND_PORT = r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}$"
-# Ids stand in headers and task records.
+# Ids are used in headers and task records.
 _LIFE_ID = re.compile(r"[A-Za-z0-9._-]{1,120}")
 
 
 class _Capacity(msgspec.Struct):
     cpu: _Amount
     mem_mb: _Amount
-    gpus: Annotated[int, msgspec.Meta(ge=0, le=_GPUS_MOST)] = 0
+    gpus: Annotated[int, msgspec.Meta(ge=0, le=_MAX_GPUS)] = 0
 
 
 class _Server(msgspec.Struct):
-    """A worker's report about itself in the store.
+    """The entry that a worker writes about itself to the store.
 
-    Other writers may put entries there too: what a worker always writes is
-    demanded, so that such an entry names no worker.
+    Other writers may add entries to the topic too. Fields that workers always
+    write are required, so that an entry of another kind lists no worker.
     """
 
-    # The service whose worker it is.
+    # The service that the worker belongs to.
     backend: Annotated[str, msgspec.Meta(min_length=1)]
     address: Annotated[str, msgspec.Meta(pattern=_HOST_AND_PORT)]
     zone: str
@@ -68,16 +68,14 @@
     # The kind, then the rack.
     labels: list[str]
     machine_id: str = ""
-    # When it started, in milliseconds since 1970.
+    # Start time of the worker, in milliseconds since 1970.
     born: float = 0
-    # Only while it drains: the time that is left at least.
-    remaining_ms: Annotated[
-        float, msgspec.Meta(ge=0, le=_REMAINING_MS_MOST)
-    ] = 0
+    # While the worker drains: minimum time that remains until it leaves.
+    remaining_ms: Annotated[float, msgspec.Meta(ge=0, le=_MAX_REMAINING_MS)] = 0
 
 
 class _Route(msgspec.Struct):
-    """A queue."""
+    """A queue, which the platform calls a route."""
 
     name: str
     hostname: str
@@ -85,17 +83,17 @@
     backend: str
     priority: int = 0
     max_attempts: int = 1
-    # How many times its longest chain of work a job may take.
+    # Maximum duration of a job, as a multiple of its critical path.
     slack_factor: float = 1.0
     target_latency_ms: float = 0
-    # Present if only the workers that the adviser names may run it.
+    # Present if only workers that the adviser permits may run its steps.
     recommendation: Any = None
 
 
 class _Service(msgspec.Struct):
     name: str
     max_connections: int = 64
-    # Whether its workers refuse what does not fit.
+    # Whether its workers reject tasks that exceed their capacity.
     enforces_capacity: bool = False
     standby: bool = False
 
@@ -124,17 +122,17 @@
     checkpointing: bool = False
     gang: bool = False
     same_rack: bool = False
-    # A label that the worker must have.
+    # Label that the worker must have.
     requirements: str = ""
-    # The rack where the data is.
+    # Rack that holds the step's data.
     affinity: str = ""
-    # The most tasks of the step on one worker.
+    # Maximum number of tasks of the step on one worker.
     anti_affinity: int = 0
     allow_duplicates: bool = False
     long_running: bool = False
     image: str = ""
     target_ms: int = 0
-    # Not a count: that its tasks take only processor time left over.
+    # A flag despite its name: the tasks use only CPU time left by others.
     fill_count: bool = False
     max_unavailable: int | None = None
 
@@ -147,8 +145,8 @@
     interval_ms: float = 0
 
 
-class _Running(msgspec.Struct, array_like=True, gc=False):
-    """A row of a listing, in the form that all but a few have."""
+class _RunRow(msgspec.Struct, array_like=True, gc=False):
+    """A row of a listing, in the format of all but a few rows."""
 
     task: str
     run: int
@@ -160,29 +158,29 @@
 class _HoldReply(msgspec.Struct):
     clock_ms: float
     born: float = 0
-    running: list[_Running] = []
-    # Rows of number, task, run, how it ended and saved progress.
+    running: list[_RunRow] = []
+    # Rows of number, task, run, kind of ending and checkpoint.
     completions: list[list[str | int | float]] = []
 
 
-class _LooseHoldReply(msgspec.Struct):
-    """The same, with rows whose numbers may have another form."""
+class _LenientHoldReply(msgspec.Struct):
+    """Like `_HoldReply`, but accepts numbers of other types in its rows."""
 
     clock_ms: float
     born: float = 0
-    # Rows of task, run, saved progress, percent and a figure.
+    # Rows of task, run, checkpoint, percent and optionally a figure.
     running: list[list[str | int | float]] = []
     completions: list[list[str | int | float]] = []
 
 
 class Refusal(msgspec.Struct):
-    """Why a worker refused, and its clock."""
+    """Reason of a worker's refusal, and the worker's clock."""
 
     reason: str = ""
     clock_ms: float | None = None
 
 
-_ENDS = {
+_END_KINDS = {
     "done": EndKind.DONE,
     "failed": EndKind.FAILED,
     "stopped": EndKind.STOPPED,
@@ -195,18 +193,18 @@
 _decode_config = msgspec.json.Decoder(_Config).decode
 _decode_submission = msgspec.json.Decoder(_Submission, strict=False).decode
 _decode_hold = msgspec.json.Decoder(_HoldReply).decode
-_decode_loose_hold = msgspec.json.Decoder(_LooseHoldReply).decode
+_decode_lenient_hold = msgspec.json.Decoder(_LenientHoldReply).decode
 _decode_refusal = msgspec.json.Decoder(Refusal).decode
 
 
 def read_worker(life_id: str, value: bytes) -> WorkerLife:
-    """Reads a worker's entry.
+    """Decodes a worker's entry.
 
     Raises:
-        WireError: It has another form.
+        WireError: The entry does not have the expected format.
     """
     if not _LIFE_ID.fullmatch(life_id):
-        raise WireError("its key is no id")
+        raise WireError("the key is not a valid worker id")
     try:
         server = _decode_server(value)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -227,10 +225,10 @@
 
 
 def read_config(value: bytes) -> WorkConfig:
-    """Reads a version of the configuration.
+    """Decodes a version of the configuration.
 
     Raises:
-        WireError: It has another form.
+        WireError: The value does not have the expected format.
     """
     try:
         config = _decode_config(value)
@@ -274,10 +272,10 @@
 
 
 def read_submission(body: bytes) -> JobSpec:
-    """Reads what a caller submits.
+    """Decodes the job that a caller submits.
 
     Raises:
-        WireError: It has another form.
+        WireError: The body does not have the expected format.
     """
     try:
         submission = _decode_submission(body)
@@ -314,10 +312,10 @@
 
 
 def read_hold(body: bytes) -> HoldReply:
-    """Reads what a worker lists.
+    """Decodes a worker's listing of its runs and endings.
 
     Raises:
-        WireError: It has another form.
+        WireError: The body does not have the expected format.
     """
     try:
         return _read_hold(body)
@@ -326,14 +324,14 @@
 
 
 def _read_hold(body: bytes) -> HoldReply:
-    reply: _HoldReply | _LooseHoldReply
+    reply: _HoldReply | _LenientHoldReply
     try:
         reply = _decode_hold(body)
     except msgspec.ValidationError:
-        reply = _decode_loose_hold(body)
-        running = [_listed(row) for row in reply.running]
+        reply = _decode_lenient_hold(body)
+        running = [_listed_run(row) for row in reply.running]
     else:
-        # Each row is made in one step: listings are most of what is decoded.
+        # Rows are built inline, as listings are most of the decoded data.
         running = [
             Listed(
                 read_task(row.task),
@@ -348,7 +346,7 @@
     return HoldReply(reply.clock_ms / _MS, running, endings, int(reply.born))
 
 
-def _listed(row: list[Any]) -> Listed:
+def _listed_run(row: list[Any]) -> Listed:
     figure = row[4] if len(row) > 4 else 0
     return Listed(
         read_task(row[0]), int(row[1]), str(row[2]), int(row[3]), int(figure)
@@ -358,32 +356,32 @@
 def _ending(row: list[Any]) -> Ending:
     saved = str(row[4]) if len(row) > 4 else ""
     return Ending(
-        int(row[0]), read_task(row[1]), int(row[2]), _ENDS[row[3]], saved
+        int(row[0]), read_task(row[1]), int(row[2]), _END_KINDS[row[3]], saved
     )
 
 
-@functools.lru_cache(maxsize=_NAMES_KEPT)
+@functools.lru_cache(maxsize=_TASK_NAME_CACHE_SIZE)
 def read_task(name: str) -> TaskName:
-    """Reads a task's name, "job.occurrence.step.index".
+    """Parses a task's name, "job.occurrence.step.index".
 
     Raises:
-        ValueError: It has another form.
+        ValueError: The name does not have this format.
     """
     job, occurrence, step, index = name.rsplit(".", 3)
     return TaskName(job, int(occurrence), int(step), int(index))
 
 
 def write_task(name: TaskName) -> str:
-    """Returns a task's name as the platform spells it."""
+    """Returns a task's name in the platform's format."""
     return f"{name.job}.{name.occurrence}.{name.step}.{name.position}"
 
 
 def read_refusal(body: bytes) -> Refusal:
-    """Reads why a worker refused; an empty body gives no reason."""
+    """Decodes the reason of a refusal; an empty body has no reason."""
     if not body:
         return Refusal()
     try:
         return _decode_refusal(body)
     except msgspec.DecodeError:
-        # Refusals of the HTTP layer may come without a body of this form.
+        # Refusals by the HTTP layer may have a body of another format.
         return Refusal(body[:80].decode("latin-1"))
--- a/pimentocross/platform/workers.py
+++ b/pimentocross/platform/workers.py
@@ -1,4 +1,4 @@
-"""Client of the platform's workers, which are called for each order."""
+"""Client of the platform's workers: one HTTP call for each order."""
 
 from typing import Any, Final
 
@@ -25,9 +25,9 @@
 from pimentocross.work.spec import TaskName
 
 _OK: Final = 200
-_BAD: Final = 400
+_BAD_REQUEST: Final = 400
 _CONFLICT: Final = 409
-_OTHER_LIFE: Final = 421
+_MISDIRECTED_REQUEST: Final = 421
 _MS: Final = 1000
 _FENCE: Final = "fence"
 _VERDICTS: Final = {
@@ -40,10 +40,10 @@
 
 
 class HttpWorker:
-    """One life of a worker; see `WorkerLink`."""
+    """Link to one life of a worker; see `WorkerLink`."""
 
     def __init__(self, life: WorkerLife) -> None:
-        """Takes the life, which every call names."""
+        """Initializes the link with the worker life that every call names."""
         self._pool = HttpPool(life.address)
         self._headers: Headers = [
             (b"content-type", b"application/json"),
@@ -58,7 +58,7 @@
         wait: float,
         timeout: float,
     ) -> HoldReply:
-        """Lists runs and endings, and extends the lease."""
+        """Extends the lease and returns the worker's runs and endings."""
         body: dict[str, Any] = {"fencing_token": token, "last_seen": seen}
         if deadline is not None:
             body["deadline_ms"] = int(deadline * _MS)
@@ -73,7 +73,7 @@
             raise WorkerUnreachableError(str(error)) from error
 
     async def start(self, order: StartOrder, timeout: float) -> StartReply:
-        """Starts a run, or confirms one that is there."""
+        """Starts a run, or confirms that it has been started already."""
         body: dict[str, Any] = {
             "task": write_task(order.task),
             "run_id": order.run,
@@ -86,15 +86,15 @@
         if order.ticket:
             body["ticket"] = order.ticket
         reply = await self._call("run-start", body, timeout)
-        told = read_refusal(reply.body)
-        clock = None if told.clock_ms is None else told.clock_ms / _MS
+        refusal = read_refusal(reply.body)
+        clock = None if refusal.clock_ms is None else refusal.clock_ms / _MS
         if reply.status == _OK:
             return StartReply(StartVerdict.STARTED, clock)
         if reply.status == _CONFLICT:
-            verdict = _VERDICTS.get(told.reason, StartVerdict.INVALID)
+            verdict = _VERDICTS.get(refusal.reason, StartVerdict.INVALID)
             return StartReply(verdict, clock)
-        if reply.status == _BAD:
-            late = told.reason == "late"
+        if reply.status == _BAD_REQUEST:
+            late = refusal.reason == "late"
             verdict = StartVerdict.LATE if late else StartVerdict.INVALID
             return StartReply(verdict, clock)
         return StartReply(StartVerdict.UNHEALTHY, clock)
@@ -115,7 +115,7 @@
     async def pace(
         self, task: TaskName, run: int, percent: int, token: int, timeout: float
     ) -> None:
-        """Lets a run work at a share of its speed."""
+        """Limits a run to a percentage of its speed."""
         body = {
             "task": write_task(task),
             "run_id": run,
@@ -127,7 +127,7 @@
             raise WorkerUnreachableError(f"pace: status {reply.status}")
 
     async def aclose(self) -> None:
-        """Closes the connections."""
+        """Closes the connections to the worker."""
         await self._pool.aclose()
 
     async def _call(
@@ -144,7 +144,7 @@
         except HttpCallError as error:
             reason = f"{name}: {error}"
             raise WorkerUnreachableError(reason, sent=error.sent) from error
-        if reply.status == _OTHER_LIFE:
+        if reply.status == _MISDIRECTED_REQUEST:
             raise WorkerReplacedError
         if reply.status == _CONFLICT and _is_fenced(reply):
             raise WorkerFencedError
@@ -156,7 +156,7 @@
 
 
 class HttpWorkerDialer:
-    """Makes links to workers; see `WorkerDialer`."""
+    """Creates links to workers; see `WorkerDialer`."""
 
     def link(self, life: WorkerLife) -> HttpWorker:
         """Returns a link to one life of a worker."""
--- a/pimentocross/standins/worker.py
+++ b/pimentocross/standins/worker.py
@@ -12,7 +12,7 @@
 
 from pimentocross.backing.workers import (
     COMMANDS,
-    NOTHING,
+    NO_RESOURCES,
     Attempt,
     Exchange,
     ExchangeReply,
@@ -131,7 +131,7 @@
     @property
     def load(self) -> Resources:
         """What the running tasks may use."""
-        total = NOTHING
+        total = NO_RESOURCES
         for spec in self.running.values():
             total = total.plus(spec.size)
         return total
--- a/pimentocross/vms/commitments.py
+++ b/pimentocross/vms/commitments.py
@@ -1,6 +1,6 @@
 """What a worker is committed to: reserved before a start is sent."""
 
-from pimentocross.backing.workers import NOTHING, Resources
+from pimentocross.backing.workers import NO_RESOURCES, Resources
 
 
 class OverCommitError(Exception):
@@ -12,9 +12,9 @@
 
     def __init__(self) -> None:
         """Starts with no capacity and nothing reserved."""
-        self._capacity = NOTHING
+        self._capacity = NO_RESOURCES
         self._reserved: dict[str, Resources] = {}
-        self._total = NOTHING
+        self._total = NO_RESOURCES
 
     @property
     def capacity(self) -> Resources:
@@ -63,12 +63,12 @@
             self._total = self._total.minus(size)
         if not self._reserved:
             # Sums of fractions leave a rest; nothing reserved is nothing.
-            self._total = NOTHING
+            self._total = NO_RESOURCES
 
     def clear(self) -> None:
         """Gives everything back: the worker's process is gone."""
         self._reserved.clear()
-        self._total = NOTHING
+        self._total = NO_RESOURCES
 
     def _add(self, task: str, size: Resources) -> None:
         self._reserved[task] = size
--- a/tests/log_fixtures.py
+++ b/tests/log_fixtures.py
@@ -11,11 +11,11 @@
 from pimentocross.observe.decisions import DecisionLog
 
 # What a process may write, as the pages for operators say, bytes a second.
-ALLOWED = 60_000
+MAX_BYTES_PER_SECOND = 60_000
 INTERVAL = 0.1
 
 
-class Console:
+class LogHarness:
     """Standard output and the time, of one log.
 
     Attributes:
@@ -27,8 +27,8 @@
     def __init__(self) -> None:
         """Starts a log that writes here."""
         self.now = 1_000.0
-        self.stuck = False
-        self._taken: list[bytes] = []
+        self.reader_stalled = False
+        self._written: list[bytes] = []
         with self._patched():
             self.log = DecisionLog()
         self.log.enabled = True
@@ -37,11 +37,11 @@
     @property
     def size(self) -> int:
         """Bytes written."""
-        return sum(len(chunk) for chunk in self._taken)
+        return sum(len(chunk) for chunk in self._written)
 
     def lines(self) -> list[LogLine]:
         """Returns what was written, as it is read afterwards."""
-        return read_lines(b"".join(self._taken).decode())
+        return read_lines(b"".join(self._written).decode())
 
     def counts(self) -> Counter[str]:
         """Returns how many decisions of each kind can be read afterwards."""
@@ -79,7 +79,7 @@
             yield
 
     def _write(self, _: int, chunk: bytes) -> int:
-        if self.stuck:
+        if self.reader_stalled:
             raise BlockingIOError
-        self._taken.append(bytes(chunk))
+        self._written.append(bytes(chunk))
         return len(chunk)
--- a/tests/operator_fixtures.py
+++ b/tests/operator_fixtures.py
@@ -17,7 +17,7 @@
 VM = "vm"
 
 
-class Followed:
+class FollowingVm:
     """A store, its operator, and a VM that follows what it writes."""
 
     def __init__(self, within: float, evacuated_within: float) -> None:
@@ -63,11 +63,11 @@
 
 
 @asynccontextmanager
-async def followed_operator(
+async def following_vm(
     within: float = APPLY_WITHIN, evacuated_within: float = float("inf")
-) -> AsyncIterator[Followed]:
+) -> AsyncIterator[FollowingVm]:
     """A VM that has the first version."""
-    followed = Followed(within, evacuated_within)
+    followed = FollowingVm(within, evacuated_within)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(followed.follower.run)
         await followed.lag(await followed.publish())
--- a/tests/platform_fixtures.py
+++ b/tests/platform_fixtures.py
@@ -15,7 +15,7 @@
 from pimentocross.links.asgi import HttpReply
 from pimentocross.links.http_pool import HttpPool
 from pimentocross.links.listener import HttpListener, ListenerLimits
-from pimentocross.platform.__main__ import build
+from pimentocross.platform.__main__ import build_node
 from pimentocross.platform.settings import read_settings
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import (
@@ -104,9 +104,9 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "settings"
         values = write_settings(path, name, platform.store_address)
-        node, surfaces = build(read_settings(path))
+        node, handlers = build_node(read_settings(path))
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(node.run, surfaces)
+            nursery.start_soon(node.run, handlers)
             yield node, values
             nursery.cancel_scope.cancel()
 
@@ -171,7 +171,9 @@
     return {"spec": "x", "job_steps": [step, step | {"after": [0]}]}
 
 
-async def until_ready(values: dict[str, str], seconds: float = 10.0) -> None:
+async def wait_until_ready(
+    values: dict[str, str], seconds: float = 10.0
+) -> None:
     """Waits until the balancer would send callers to a VM."""
     caller = Caller(values["listen_addrs.ready"])
     with trio.fail_after(seconds):
--- a/tests/slow_vm.py
+++ b/tests/slow_vm.py
@@ -274,7 +274,7 @@
 def _collecting_as_the_process() -> Iterator[None]:
     thresholds = gc.get_threshold()
     gc.collect()
-    process.prepare()
+    process.configure_collector()
     try:
         yield
     finally:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -27,7 +27,7 @@
     is_too_late,
     retry_after,
 )
-from pimentocross.platform.callers import CallerSurface
+from pimentocross.platform.callers import CallerHandler
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.worker_hall import WorkerHall
 from pimentocross.work.spec import JobSpec
@@ -177,7 +177,7 @@
     assert answer.retry_after == 7.0
     body = b'{"job_steps": [{"count": 1, "cpu": 100, "mem_mb": 10}]}'
     request = HttpRequest("POST", "/plans/j1", b"", [(b"host", b"host")], body)
-    reply = await CallerSurface(desk).handle(request)
+    reply = await CallerHandler(desk).handle(request)
     assert reply.status == 429, reply
     assert (b"retry-after", b"7") in reply.headers
 
--- a/tests/test_collecting.py
+++ b/tests/test_collecting.py
@@ -81,7 +81,7 @@
 
     gc.collect()
     with _settings_kept(), survivors_left_out():
-        process.prepare()
+        process.configure_collector()
         gc.freeze()
         gc.callbacks.append(note)
         kept = [[number] for number in range(10 * _MADE)]
--- a/tests/test_config_current.py
+++ b/tests/test_config_current.py
@@ -32,14 +32,14 @@
 from tests.operator_fixtures import (
     APPLY_WITHIN,
     VM,
-    Followed,
-    followed_operator,
+    FollowingVm,
+    following_vm,
 )
 from tests.platform_fixtures import (
     Caller,
     loopback_platform,
     running_node,
-    until_ready,
+    wait_until_ready,
 )
 from tests.test_http import real_time
 
@@ -57,25 +57,25 @@
 
 
 async def _most_lag(
-    fault: Callable[[Followed, float], Awaitable[None]],
+    fault: Callable[[FollowingVm, float], Awaitable[None]],
     within: float = APPLY_WITHIN,
 ) -> float:
     lags = []
     for step in range(40):
-        async with followed_operator(within) as followed:
+        async with following_vm(within) as followed:
             await trio.sleep(1.03)
             await fault(followed, step * 0.1)
             lags.append(await followed.lag(await followed.publish()))
     return max(lags)
 
 
-async def _store_away(followed: Followed, moment: float) -> None:
+async def _store_away(followed: FollowingVm, moment: float) -> None:
     followed.store.faults.away = True
     await trio.sleep(4.0 + moment)
     followed.store.faults.away = False
 
 
-async def _connections_silent(followed: Followed, moment: float) -> None:
+async def _connections_silent(followed: FollowingVm, moment: float) -> None:
     await trio.sleep(moment)
     followed.store.faults.silenced += 1
 
@@ -89,7 +89,7 @@
 def _faults_then_calm(seed: int) -> Callable[[], Awaitable[None]]:
     async def run() -> None:
         draw = random.Random(seed)
-        async with followed_operator() as followed:
+        async with following_vm() as followed:
             faults = followed.store.faults
             for _ in range(6):
                 kind = draw.choice(("away", "refused", "silent", "slow"))
@@ -115,7 +115,7 @@
     """It can't know of the route, so it tells when to come back."""
     async with loopback_platform() as platform:
         async with running_node(platform, "vm1") as (node, values):
-            await until_ready(values)
+            await wait_until_ready(values)
             assert node.get_config() is not None
             platform.store.faults.refused = {"wire"}
             await platform.configure(5, "/new/")
@@ -137,7 +137,7 @@
 
 async def test_an_answer_from_an_old_copy_is_looked_up_anew() -> None:
     """Once the copy is too old, one question for all who wait."""
-    async with followed_operator() as followed:
+    async with following_vm() as followed:
         follower, store = followed.follower, followed.store
         store.faults.silenced += 1
         await trio.sleep(0.95)
@@ -152,7 +152,7 @@
 
 
 async def test_nobody_waits_for_a_store_that_is_known_to_be_away() -> None:
-    async with followed_operator() as followed:
+    async with following_vm() as followed:
         followed.store.faults.away = True
         await trio.sleep(3.0)
         began = trio.current_time()
@@ -162,7 +162,7 @@
 
 async def test_an_owner_judges_queues_by_the_newest_configuration() -> None:
     """Whatever the VM knows that sends a job."""
-    async with followed_operator() as followed:
+    async with following_vm() as followed:
         config = followed.follower.config
         assert config is not None
         first = config.queues[0]
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -24,7 +24,7 @@
 from pimentocross.standins.worker_hall import WorkerHall
 from pimentocross.work.spec import StepSpec, TaskName
 from tests import run_virtual
-from tests.operator_fixtures import VM, Followed, followed_operator
+from tests.operator_fixtures import VM, FollowingVm, following_vm
 from tests.owner_fixtures import (
     QUEUE,
     SMALL,
@@ -179,7 +179,7 @@
 class _Cell:
     """Owners whose VM reads an operator's evacuations from the store."""
 
-    def __init__(self, followed: Followed, hall: WorkerHall) -> None:
+    def __init__(self, followed: FollowingVm, hall: WorkerHall) -> None:
         self.followed = followed
         self.hall = hall
         self._epoch = 0
@@ -205,10 +205,10 @@
 
 
 async def _latest_start(
-    fault: Callable[[Followed, float], Awaitable[None]], moment: float
+    fault: Callable[[FollowingVm, float], Awaitable[None]], moment: float
 ) -> float:
     """Returns the seconds from an evacuation to the last start in its zone."""
-    async with followed_operator(3.0, _MAX_DELAY) as followed:
+    async with following_vm(3.0, _MAX_DELAY) as followed:
         cell = _Cell(followed, _make_hall(_short_task))
         async with cell.owned() as owner, trio.open_nursery() as nursery:
             nursery.start_soon(cell.submit_for_ever, owner)
@@ -224,21 +224,21 @@
     return max((event.at - acked_at for event in late), default=0.0)
 
 
-async def _no_fault(followed: Followed, moment: float) -> None:
+async def _no_fault(followed: FollowingVm, moment: float) -> None:
     await trio.lowlevel.checkpoint()
 
 
-async def _silent_store(followed: Followed, moment: float) -> None:
+async def _silent_store(followed: FollowingVm, moment: float) -> None:
     followed.store.faults.silenced += 1
     await trio.lowlevel.checkpoint()
 
 
-async def _slow_store(followed: Followed, moment: float) -> None:
+async def _slow_store(followed: FollowingVm, moment: float) -> None:
     followed.store.faults.delay = 0.4
     await trio.lowlevel.checkpoint()
 
 
-async def _store_outage(followed: Followed, moment: float) -> None:
+async def _store_outage(followed: FollowingVm, moment: float) -> None:
     followed.store.faults.away = True
     await trio.sleep(2.0 + moment)
     followed.store.faults.away = False
@@ -256,7 +256,7 @@
             latest: list[float] = []
 
             async def play(
-                fault: Callable[[Followed, float], Awaitable[None]] = fault,
+                fault: Callable[[FollowingVm, float], Awaitable[None]] = fault,
                 step: int = step,
                 latest: list[float] = latest,
             ) -> None:
@@ -268,7 +268,7 @@
 
 async def test_a_vm_that_can_not_read_starts_nothing() -> None:
     """Its copy of the log may lack an evacuation that is already in force."""
-    async with followed_operator(3.0, _MAX_DELAY) as followed:
+    async with following_vm(3.0, _MAX_DELAY) as followed:
         zones = followed.follower.evacuations
         assert zones.is_open(_NORTH)
         followed.store.faults.refused = {VM}
@@ -282,14 +282,14 @@
 
 
 async def test_a_process_that_has_read_nothing_starts_nothing() -> None:
-    async with followed_operator(3.0, _MAX_DELAY) as followed:
+    async with following_vm(3.0, _MAX_DELAY) as followed:
         await followed.evacuate(_NORTH)
-        fresh = Followed(3.0, _MAX_DELAY)
+        fresh = FollowingVm(3.0, _MAX_DELAY)
         assert not fresh.follower.evacuations.is_open("south")
 
 
 async def test_a_removal_takes_an_evacuation_back() -> None:
-    async with followed_operator(3.0, _MAX_DELAY) as followed:
+    async with following_vm(3.0, _MAX_DELAY) as followed:
         zones = followed.follower.evacuations
         await followed.evacuate(_NORTH)
         await followed.evacuate("south")
@@ -306,7 +306,7 @@
 
 async def test_a_reader_that_begins_anew_knows_what_is_evacuated() -> None:
     """Records and removals may have expired while the reader was cut off."""
-    async with followed_operator(3.0, _MAX_DELAY) as followed:
+    async with following_vm(3.0, _MAX_DELAY) as followed:
         zones = followed.follower.evacuations
         await followed.evacuate(_NORTH)
         await followed.lag_until(lambda: not zones.is_open(_NORTH))
@@ -321,7 +321,7 @@
 
 
 async def test_a_record_without_a_readable_value_evacuates_its_zone() -> None:
-    async with followed_operator(3.0, _MAX_DELAY) as followed:
+    async with following_vm(3.0, _MAX_DELAY) as followed:
         record = Record(f"evacuate/{_NORTH}", b"\xff{")
         await followed.store.client("operator").append("op", [record], 1.0)
         zones = followed.follower.evacuations
@@ -333,7 +333,7 @@
 
 
 async def test_a_successor_leaves_the_zone_out_from_its_first_start() -> None:
-    async with followed_operator(3.0, _MAX_DELAY) as followed:
+    async with following_vm(3.0, _MAX_DELAY) as followed:
         cell = _Cell(followed, _make_hall(_short_task))
         async with cell.owned() as owner:
             await owner.desk.submit("first", QUEUE, chain(60, 1))
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -16,7 +16,7 @@
 from pimentocross.observe.decisions import DecisionLog
 from pimentocross.observe.histograms import Histograms, Label
 from pimentocross.observe.metrics import render
-from tests.log_fixtures import Console
+from tests.log_fixtures import LogHarness
 
 _LOG = """\
  -1.2 edge-1 {"t":10.0,"vm":"a","is":"job_accepted","job":"j1","queue":"q"}
@@ -63,7 +63,7 @@
 
 
 def test_the_newest_lines_are_kept_within_a_bound() -> None:
-    console = Console()
+    console = LogHarness()
     for number in range(40_000):
         text = f"{number}" + "x" * 100
         console.note("load", number=number, text=text)
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -12,7 +12,7 @@
 from pimentocross.contracts.worker_link import WorkerLife
 from pimentocross.owner import wall
 from pimentocross.platform.store import StoreClient, _read_page
-from pimentocross.platform.topics import ServerTopic
+from pimentocross.platform.topics import WorkerTopic
 from pimentocross.platform.wire import WireError, read_worker
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import TaskWorkerStandin
@@ -32,10 +32,10 @@
 from tests.platform_fixtures import loopback_platform
 from tests.test_http import real_time
 
-_GOOD = json.loads(server_entry(life(0)))
+_VALID = json.loads(server_entry(life(0)))
 _ID = life(0).id
 # One change each that leaves an entry which names no worker.
-_BROKEN: list[dict[str, object]] = [
+_INVALID_CHANGES: list[dict[str, object]] = [
     {"backend": 7},
     {"backend": ""},
     {"backend": None},
@@ -55,7 +55,7 @@
     {"remaining_ms": -5},
     {"remaining_ms": "long"},
 ]
-_DEMANDED = ("backend", "address", "zone", "state", "capacity", "labels")
+_REQUIRED_FIELDS = ("backend", "address", "zone", "state", "capacity", "labels")
 
 
 def _listed(records: Sequence[Record]) -> list[WorkerLife]:
@@ -63,7 +63,7 @@
 
     async def read() -> list[WorkerLife]:
         store = StoreStandin()
-        topic = ServerTopic(store.client("reader"))
+        topic = WorkerTopic(store.client("reader"))
         await topic.poll(1.0)
         for record in records:
             await store.client("w").append("servers", [record], 1.0)
@@ -84,11 +84,11 @@
 
 
 def test_a_broken_entry_names_no_worker_and_the_others_hold() -> None:
-    for change in _BROKEN:
-        value = json.dumps({**_GOOD, **change}).encode()
+    for change in _INVALID_CHANGES:
+        value = json.dumps({**_VALID, **change}).encode()
         assert _after(value) == [life(1).id], change
-    for missing in _DEMANDED:
-        entry = {key: v for key, v in _GOOD.items() if key != missing}
+    for missing in _REQUIRED_FIELDS:
+        entry = {key: v for key, v in _VALID.items() if key != missing}
         assert _after(json.dumps(entry).encode()) == [life(1).id], missing
 
 
@@ -124,11 +124,11 @@
 
 
 @settings(deadline=None, max_examples=200)
-@given(st.sampled_from(sorted(_GOOD)), _JSON)
+@given(st.sampled_from(sorted(_VALID)), _JSON)
 def test_any_field_of_any_type_is_read_or_refused(
     field: str, value: object
 ) -> None:
-    entry = json.dumps({**_GOOD, field: value}).encode()
+    entry = json.dumps({**_VALID, field: value}).encode()
     try:
         found = read_worker(_ID, entry)
     except WireError:
@@ -142,7 +142,7 @@
     # Served over HTTP: a reader must neither stop nor miss what follows.
     async with loopback_platform(1) as platform:
         client = StoreClient(platform.store_address)
-        topic = ServerTopic(client)
+        topic = WorkerTopic(client)
         assert len(await topic.poll(1.0)) == 1
         end = (await client.newest("servers", 1.0)).end
         frames = b"".join(
@@ -161,7 +161,7 @@
             page = await client.read("servers", end, 0.0, 1.0)
         assert len(page.records) == 4
         for record in page.records:
-            topic._take(record)
+            topic._apply_record(record)
         assert len(await topic.poll(1.0)) == 1
 
 
--- a/tests/test_log_shares.py
+++ b/tests/test_log_shares.py
@@ -12,20 +12,20 @@
 import time
 
 from pimentocross.observe.decisions import DecisionLog
-from tests.log_fixtures import ALLOWED, Console
+from tests.log_fixtures import MAX_BYTES_PER_SECOND, LogHarness
 
 _SECONDS = 20
 # Runs in a tenth of a second, five times what the large cell had.
 _FLOOD = 200
 
 
-def _flood(console: Console) -> None:
+def _flood(console: LogHarness) -> None:
     console.note_runs("run_decided", _FLOOD, free=[200, 49_440, 0])
     console.note_runs("run_ended", _FLOOD, how="done", failures=0)
 
 
 def test_rare_lines_are_written_beside_a_flood() -> None:
-    console = Console()
+    console = LogHarness()
     for tick in range(_SECONDS * 10):
         _flood(console)
         if tick % 10 == 0:
@@ -40,7 +40,7 @@
 
 
 def test_a_burst_of_a_rare_kind_is_written_beside_a_flood() -> None:
-    console = Console()
+    console = LogHarness()
     for tick in range(_SECONDS * 10):
         _flood(console)
         if tick % 60 == 59:
@@ -53,12 +53,12 @@
 
 
 def test_a_flood_takes_what_others_leave_and_no_more() -> None:
-    console = Console()
+    console = LogHarness()
     for _ in range(_SECONDS * 10):
         _flood(console)
         console.tick()
-    assert console.size <= ALLOWED * (_SECONDS + 2), console.size
-    assert console.size > 0.9 * ALLOWED * _SECONDS, console.size
+    assert console.size <= MAX_BYTES_PER_SECOND * (_SECONDS + 2), console.size
+    assert console.size > 0.9 * MAX_BYTES_PER_SECOND * _SECONDS, console.size
     counts = console.counts()
     # Neither of two kinds that ask for as much crowds the other out.
     assert counts["run_ended"] > 0.5 * counts["run_decided"], counts
@@ -66,26 +66,26 @@
 
 
 def test_one_kind_alone_may_use_all() -> None:
-    console = Console()
+    console = LogHarness()
     for _ in range(_SECONDS * 10):
         console.note_runs("run_decided", _FLOOD)
         console.tick()
-    assert console.size > 0.9 * ALLOWED * _SECONDS
+    assert console.size > 0.9 * MAX_BYTES_PER_SECOND * _SECONDS
 
 
 def test_lines_longer_than_their_kind_was_thought_keep_the_bound() -> None:
-    console = Console()
+    console = LogHarness()
     for number in range(_SECONDS * 10):
         for _ in range(50):
             console.note("job_accepted", text=f"{number}" + "x" * 3_800)
         console.note("claim", reason="silent", at=number)
         console.tick()
-    assert console.size <= ALLOWED * (_SECONDS + 2), console.size
+    assert console.size <= MAX_BYTES_PER_SECOND * (_SECONDS + 2), console.size
     assert console.counts()["claim"] == 10 * _SECONDS, console.counts()
 
 
 def test_lines_too_long_for_a_pipe_bar_no_shorter_ones_for_good() -> None:
-    console = Console()
+    console = LogHarness()
     for _ in range(50):
         console.note_runs("job_accepted", 20, text="x" * 50_000)
         console.tick()
@@ -97,7 +97,7 @@
 
 
 def test_ends_that_explain_a_lost_run_go_before_ordinary_ones() -> None:
-    console = Console()
+    console = LogHarness()
     for _ in range(_SECONDS * 10):
         _flood(console)
         console.note_runs("run_ended", 1, how="lapsed", failures=0)
@@ -109,22 +109,22 @@
 
 
 def test_rare_lines_wait_beside_a_flood_while_nobody_reads() -> None:
-    console = Console()
-    console.stuck = True
+    console = LogHarness()
+    console.reader_stalled = True
     for tick in range(_SECONDS * 10):
         _flood(console)
         if tick % 10 == 0:
             console.note("claim", reason="silent", at=tick)
         console.tick()
-    console.stuck = False
+    console.reader_stalled = False
     console.tick()
     assert console.counts()["claim"] == _SECONDS, console.counts()
     # Four thousand lines of about 200 bytes, and one burst.
-    assert console.size < 4_000 * 200 + 2 * ALLOWED, console.size
+    assert console.size < 4_000 * 200 + 2 * MAX_BYTES_PER_SECOND, console.size
 
 
 def test_runs_of_a_large_cell_fit_into_what_may_be_written() -> None:
-    console = Console()
+    console = LogHarness()
     for _ in range(_SECONDS * 10):
         console.note_runs("run_decided", 42, free=[200, 49_440, 0])
         console.note_runs("run_ended", 42, how="done", failures=0)
@@ -135,7 +135,7 @@
 
 
 def test_lines_are_read_as_they_were_noted() -> None:
-    console = Console()
+    console = LogHarness()
     console.note("claim", reason="silent", at=7)
     for number in range(30):
         console.now += 0.003
@@ -159,8 +159,8 @@
 
 
 def test_what_was_dropped_is_told_and_its_counter_never_falls() -> None:
-    console = Console()
-    told = before = 0
+    console = LogHarness()
+    reported = before = 0
     for tick in range(_SECONDS * 10):
         if tick % 50 < 20:
             _flood(console)
@@ -170,8 +170,8 @@
         before = dropped
     for line in console.lines():
         if line.kind == "lines_dropped":
-            told += line.fields["by_kind"].get("run_ended", 0)
-    assert told == before > 5_000
+            reported += line.fields["by_kind"].get("run_ended", 0)
+    assert reported == before > 5_000
 
 
 def test_a_line_that_is_dropped_is_not_encoded() -> None:
--- a/tests/test_owner_lateness.py
+++ b/tests/test_owner_lateness.py
@@ -18,7 +18,7 @@
 
 from bench.large_jobs import lasting_job
 from pimentocross.observe import decisions
-from pimentocross.observe.late_log import LateLog
+from pimentocross.observe.late_log import LoopLatenessLog
 from pimentocross.observe.lateness import LoopLateness
 from pimentocross.owner import const
 from pimentocross.owner.owner import CellPlatform, Claim, Owner
@@ -77,7 +77,7 @@
 
 async def _read_lateness(clock: ChargingClock) -> None:
     lateness = LoopLateness()
-    log = LateLog()
+    log = LoopLatenessLog()
     noted = decisions.counts()["late"]
     began = trio.current_time()
     async with trio.open_nursery() as nursery:
@@ -87,11 +87,11 @@
         clock.charge(0.5 / clock.factor)
         # Known at once, also before the timer's own turn has come.
         assert 0.4 < lateness.recent < 0.7
-        log.take(lateness.recent)
+        log.record(lateness.recent)
         for _ in range(2):
             await trio.sleep(0.1)
             clock.charge(0.3 / clock.factor)
-            log.take(lateness.recent)
+            log.record(lateness.recent)
         assert 0.4 < lateness.recent < 0.7
         await trio.sleep(1.5)
         assert lateness.recent < 0.1
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -28,13 +28,13 @@
     job_body,
     loopback_platform,
     running_node,
-    until_ready,
+    wait_until_ready,
     write_settings,
 )
 from tests.test_http import real_time
 
 
-async def _until_accepted(caller: Caller, job: str) -> None:
+async def _wait_until_accepted(caller: Caller, job: str) -> None:
     with trio.fail_after(15):
         while True:
             try:
@@ -50,7 +50,7 @@
     assert await caller.state(job) != "410", "an accepted job is known"
 
 
-async def _until_state(caller: Caller, job: str, state: str) -> None:
+async def _wait_until_state(caller: Caller, job: str, state: str) -> None:
     with trio.fail_after(15):
         while await caller.state(job) != state:
             await trio.sleep(0.05)
@@ -60,11 +60,11 @@
 async def test_a_job_is_served_through_the_whole_path() -> None:
     async with loopback_platform() as platform:
         async with running_node(platform, "vm1") as (_, values):
-            await until_ready(values)
+            await wait_until_ready(values)
             caller = Caller(values["listen_addrs.frontend"])
-            await _until_accepted(caller, "aa01")
-            await _until_accepted(caller, "aa01")
-            await _until_state(caller, "aa01", "completed")
+            await _wait_until_accepted(caller, "aa01")
+            await _wait_until_accepted(caller, "aa01")
+            await _wait_until_state(caller, "aa01", "completed")
             assert await caller.state("unknown") == "410"
             reply = await caller.call("GET", PREFIX)
             assert msgspec.json.decode(reply.body) == {"pending": 0}
@@ -86,17 +86,17 @@
 async def test_workers_that_restart_under_their_ids_repeat_no_job() -> None:
     async with loopback_platform() as platform:
         async with running_node(platform, "vm1") as (_, values):
-            await until_ready(values)
+            await wait_until_ready(values)
             caller = Caller(values["listen_addrs.frontend"])
             for number in range(24):
                 job = f"aa{number:02}"
-                await _until_accepted(caller, job)
+                await _wait_until_accepted(caller, job)
                 if number % 8 == 7:
-                    await _until_state(caller, job, "completed")
+                    await _wait_until_state(caller, job, "completed")
                     for worker in platform.workers:
                         worker.restart()
             for number in range(24):
-                await _until_state(caller, f"aa{number:02}", "completed")
+                await _wait_until_state(caller, f"aa{number:02}", "completed")
     assert not find_twice(platform.journal)
     assert not find_again(platform.journal)
 
@@ -105,9 +105,9 @@
 async def test_malformed_submissions_are_named_and_change_nothing() -> None:
     async with loopback_platform() as platform:
         async with running_node(platform, "vm1") as (_, values):
-            await until_ready(values)
+            await wait_until_ready(values)
             caller = Caller(values["listen_addrs.frontend"])
-            await _until_accepted(caller, "aa01")
+            await _wait_until_accepted(caller, "aa01")
             bodies: list[object] = [
                 [],
                 {},
@@ -133,16 +133,24 @@
     """One below 0 ended the process; all that it did for others ended too."""
     async with loopback_platform() as platform:
         async with running_node(platform, "vm1") as (_, values):
-            await until_ready(values)
+            await wait_until_ready(values)
             caller = Caller(values["listen_addrs.frontend"])
-            await _until_accepted(caller, "aa01")
+            await _wait_until_accepted(caller, "aa01")
             pool = HttpPool(values["listen_addrs.frontend"])
-            for told in (b"-5", b"0", b"nan", b"inf", b"-inf", b"1e400", b"x"):
-                headers = [(b"x-deadline-ms", told)]
+            for deadline in (
+                b"-5",
+                b"0",
+                b"nan",
+                b"inf",
+                b"-inf",
+                b"1e400",
+                b"x",
+            ):
+                headers = [(b"x-deadline-ms", deadline)]
                 for method in ("GET", "DELETE"):
                     path = PREFIX + "unknown"
                     reply = await pool.call(method, path, b"", 5.0, headers)
-                    assert reply.status in (410, 503, 504), (told, reply)
+                    assert reply.status in (410, 503, 504), (deadline, reply)
             assert await caller.state("unknown") == "410"
 
 
@@ -150,9 +158,9 @@
 async def test_a_route_is_gone_and_another_there_within_a_second() -> None:
     async with loopback_platform() as platform:
         async with running_node(platform, "vm1") as (_, values):
-            await until_ready(values)
+            await wait_until_ready(values)
             caller = Caller(values["listen_addrs.frontend"])
-            await _until_accepted(caller, "aa01")
+            await _wait_until_accepted(caller, "aa01")
             await platform.configure(5, "/new/")
             await trio.sleep(0.5)
             assert (await caller.call("GET", "/new/")).status == 200
@@ -184,16 +192,16 @@
 ):
     async with loopback_platform(seconds=1.0) as platform:
         async with running_node(platform, "vm2") as (_, second):
-            await until_ready(second)
+            await wait_until_ready(second)
             caller = Caller(second["listen_addrs.frontend"])
             async with running_node(platform, "vm1") as (_, first):
-                await until_ready(first)
+                await wait_until_ready(first)
                 other = Caller(first["listen_addrs.frontend"])
-                await _until_accepted(other, "aa01")
+                await _wait_until_accepted(other, "aa01")
                 assert await caller.state("aa01") in ("queued", "running")
-            await _until_accepted(caller, "aa02")
-            await _until_state(caller, "aa01", "completed")
-            await _until_state(caller, "aa02", "completed")
+            await _wait_until_accepted(caller, "aa02")
+            await _wait_until_state(caller, "aa01", "completed")
+            await _wait_until_state(caller, "aa02", "completed")
     assert not find_twice(platform.journal)
     assert not find_again(platform.journal)
 
@@ -237,7 +245,7 @@
                 for vm in vms:
                     vm.start()
                 for vm in vms:
-                    await until_ready(vm.values, 20)
+                    await wait_until_ready(vm.values, 20)
                 await _kill_in_turn(vms)
             finally:
                 for vm in vms:
@@ -251,7 +259,7 @@
 async def _kill_in_turn(vms: list[_Process]) -> None:
     for number, vm in enumerate(vms):
         other = vms[(number + 1) % len(vms)].caller
-        await _until_accepted(vm.caller, f"aa{number}")
+        await _wait_until_accepted(vm.caller, f"aa{number}")
         assert vm.started is not None
         if number == 0:
             vm.started.send_signal(signal.SIGHUP)
@@ -264,16 +272,16 @@
             vm.started.kill()
             vm.started.wait()
         vm.start()
-        await _until_accepted(other, f"ab{number}")
-        await _until_state(other, f"aa{number}", "completed")
-        await until_ready(vm.values, 20)
+        await _wait_until_accepted(other, f"ab{number}")
+        await _wait_until_state(other, f"aa{number}", "completed")
+        await wait_until_ready(vm.values, 20)
 
 
 # About 50 lines each, 7,000 in all: more than wait (4,000) and fit in a pipe.
 _LOAD_JOBS = 140
 
 
-async def _load(vm: _Process) -> list[float]:
+async def _submit_wide_jobs(vm: _Process) -> list[float]:
     """Submits wide jobs for 10 s or more; returns how long each took."""
     took = []
     for number in range(_LOAD_JOBS):
@@ -286,7 +294,7 @@
     return sorted(took)
 
 
-async def _load_with(stdout: int, *, until: str) -> list[float]:
+async def _time_submissions(stdout: int, *, until: str) -> list[float]:
     """Loads a process whose output nobody reads, or that goes nowhere.
 
     Args:
@@ -298,9 +306,9 @@
             vm = _Process(folder, "vm1", platform.store_address)
             process = vm.start(stdout)
             try:
-                await until_ready(vm.values, 20)
-                await _until_accepted(vm.caller, "aa01")
-                took = await _load(vm)
+                await wait_until_ready(vm.values, 20)
+                await _wait_until_accepted(vm.caller, "aa01")
+                took = await _submit_wide_jobs(vm)
                 metrics = Caller(vm.values["test.metrics"])
                 with trio.fail_after(30):
                     while True:
@@ -317,9 +325,9 @@
 @real_time
 async def test_a_reader_of_the_log_that_stalls_slows_no_request() -> None:
     lost = "pimentocross_log_lines_dropped_total{is="
-    read = await _load_with(subprocess.DEVNULL, until="decisions_total")
+    read = await _time_submissions(subprocess.DEVNULL, until="decisions_total")
     # Lines beyond the rate, the pipe and the buffer are lost, and counted.
-    stalled = await _load_with(subprocess.PIPE, until=lost)
+    stalled = await _time_submissions(subprocess.PIPE, until=lost)
     middle = _LOAD_JOBS // 2
     assert stalled[middle] < 1.5 * read[middle] + 0.02
 
@@ -328,10 +336,10 @@
 async def test_a_live_process_is_asked_for_a_jobs_story() -> None:
     async with loopback_platform() as platform:
         async with running_node(platform, "vm1") as (_, values):
-            await until_ready(values)
+            await wait_until_ready(values)
             caller = Caller(values["listen_addrs.frontend"])
-            await _until_accepted(caller, "aa01")
-            await _until_state(caller, "aa01", "completed")
+            await _wait_until_accepted(caller, "aa01")
+            await _wait_until_state(caller, "aa01", "completed")
             metrics = Caller(values["test.metrics"])
             reply = await metrics.call("GET", DECISIONS_PATH)
             assert reply.status == 200
--- a/tests/test_sight.py
+++ b/tests/test_sight.py
@@ -21,7 +21,7 @@
 from pimentocross.observe.decisions import DecisionLog
 from pimentocross.observe.histograms import Histograms
 from pimentocross.observe.metrics import render
-from pimentocross.platform.__main__ import build
+from pimentocross.platform.__main__ import build_node
 from pimentocross.platform.settings import read_settings
 from pimentocross.standins.store import StoreStandin
 from tests.owner_fixtures import (
@@ -45,7 +45,7 @@
 
 
 @contextmanager
-def _logged() -> Iterator[DecisionLog]:
+def _enabled_log() -> Iterator[DecisionLog]:
     """Turns a log on for the block."""
     log = DecisionLog()
     log.enabled = True
@@ -69,7 +69,7 @@
     return {name: float(value) for name, value in rows}
 
 
-def _rise(before: dict[str, float], name: str) -> float:
+def _increase(before: dict[str, float], name: str) -> float:
     now = _metrics()
     assert name in now, sorted(now)
     return now[name] - before.get(name, 0.0)
@@ -81,7 +81,7 @@
         await owner.desk.submit("j1", QUEUE, chain(2, 3))
         await wait_until(lambda: bool(hall.journal))
         await trio.sleep(0.1)
-    with _logged() as log:
+    with _enabled_log() as log:
         async with running(make_owner(store, hall, 2)):
             await trio.sleep(8.0)
     (read,) = _lines(log, "owner_read")
@@ -98,14 +98,16 @@
 async def test_a_take_over_that_lacks_workers_says_how_many() -> None:
     store, hall = StoreStandin(), make_hall(_WORKERS)
     hall.cut["a"] = {"w1-0"}
-    with _logged() as log:
+    with _enabled_log() as log:
         async with running(make_owner(store, hall, 1)):
             await trio.sleep(30.0)
             hall.cut["a"].clear()
             await trio.sleep(3.0)
-    told = [line.fields["workers"] for line in _lines(log, "owner_adopts")]
+    worker_counts = [
+        line.fields["workers"] for line in _lines(log, "owner_adopts")
+    ]
     # Said when it changes, not each second.
-    assert told == [_WORKERS - 1, _WORKERS], told
+    assert worker_counts == [_WORKERS - 1, _WORKERS], worker_counts
 
 
 async def test_calls_that_workers_leave_unanswered_are_counted() -> None:
@@ -116,18 +118,18 @@
         hall.cut["a"].update({"w0-0", "w1-0"})
         await trio.sleep(5.0)
     unanswered = 'pimentocross_calls_unanswered_total{call="hold"}'
-    assert _rise(before, unanswered) >= 4
-    assert _rise(before, "pimentocross_holds_total") >= 4 * 5
+    assert _increase(before, unanswered) >= 4
+    assert _increase(before, "pimentocross_holds_total") >= 4 * 5
 
 
 def test_passes_and_what_they_take_are_counted() -> None:
     before = _metrics()
     seconds = run_cell_on_slow_vm()
-    passes = _rise(before, "pimentocross_passes_total")
-    took = _rise(before, "pimentocross_pass_seconds_total")
+    passes = _increase(before, "pimentocross_passes_total")
+    took = _increase(before, "pimentocross_pass_seconds_total")
     assert passes > 5
     assert 0.01 < took < seconds, (passes, took)
-    assert _rise(before, "pimentocross_processor_seconds_total") > 0.0
+    assert _increase(before, "pimentocross_processor_seconds_total") > 0.0
 
 
 def run_cell_on_slow_vm() -> float:
@@ -152,14 +154,14 @@
 @real_time
 async def test_a_loop_that_is_late_tells_so_at_most_once_a_second() -> None:
     before = _metrics()
-    with _logged() as log:
+    with _enabled_log() as log:
         async with loopback_platform() as platform:
             with tempfile.TemporaryDirectory() as folder:
                 path = Path(folder) / "settings"
                 write_settings(path, "vm1", platform.store_address)
-                node, surfaces = build(read_settings(path))
+                node, handlers = build_node(read_settings(path))
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(node.run, surfaces)
+                    nursery.start_soon(node.run, handlers)
                     await trio.sleep(0.5)
                     for _ in range(4):
                         time.sleep(0.4)  # noqa: ASYNC251
@@ -171,5 +173,5 @@
     # Nothing else ran, and the processor was not used either.
     assert late[0].fields["passes"] < 0.2, late
     assert late[0].fields["processor"] < 0.3, late
-    assert _rise(before, "pimentocross_loop_late_seconds_total") > 1.0
+    assert _increase(before, "pimentocross_loop_late_seconds_total") > 1.0
     assert gauges["loop_late_most_seconds"] >= 0.3, gauges
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -12,7 +12,7 @@
     StoreUnavailableError,
 )
 from pimentocross.platform.store import StoreClient
-from pimentocross.platform.topics import OperatorTopic, ServerTopic
+from pimentocross.platform.topics import OperatorTopic, WorkerTopic
 from tests.platform_fixtures import loopback_platform
 
 
@@ -53,7 +53,7 @@
 async def test_readers_go_on_from_the_newest_once_history_is_gone() -> None:
     async with loopback_platform(2) as platform:
         client = StoreClient(platform.store_address)
-        servers, operator = ServerTopic(client), OperatorTopic(client)
+        servers, operator = WorkerTopic(client), OperatorTopic(client)
         assert len(await servers.poll(1.0)) == 2
         first = (await operator.next_config(0.0, 1.0)).config
         assert first is not None
--- a/tests/test_topics.py
+++ b/tests/test_topics.py
@@ -9,7 +9,7 @@
 
 from pimentocross.contracts.store import Record, StoreUnavailableError
 from pimentocross.owner import const
-from pimentocross.platform.topics import ServerTopic
+from pimentocross.platform.topics import WorkerTopic
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.users_platform import server_entry
 from tests.owner_fixtures import life
@@ -29,7 +29,7 @@
 
 async def test_a_worker_whose_removal_has_expired_is_not_listed() -> None:
     store = StoreStandin()
-    directory = ServerTopic(store.client("vm"))
+    directory = WorkerTopic(store.client("vm"))
     await _list(store, _entry(0), _entry(1))
     assert len(await directory.poll(1.0)) == 2
     await _list(store, Record(life(0).id, None), _entry(2))
@@ -42,7 +42,7 @@
     """Whenever it was asked: a worker that leaves gets no start after 2.0 s."""
     for step in range(40):
         store = StoreStandin()
-        directory = ServerTopic(store.client("vm"))
+        directory = WorkerTopic(store.client("vm"))
         await _list(store, _entry(0))
         await directory.poll(const.ROSTER_TIMEOUT)
         store.faults.away = True
@@ -54,7 +54,7 @@
             assert trio.current_time() - began - away_for < _DRAIN_WITHIN
 
 
-async def _poll_until_answered(directory: ServerTopic) -> None:
+async def _poll_until_answered(directory: WorkerTopic) -> None:
     """Polls as an owner does."""
     while True:
         try:
