--- a/pimentocross/observe/decisions.py
+++ b/pimentocross/observe/decisions.py
@@ -37,8 +37,8 @@
 # Maximum rows of a table. A run's row takes about 60 bytes, so a larger table
 # would not fit into a chunk and would be encoded in vain.
 _MAX_ROWS: Final = 60
-# Maximum number of buffers, one for each kind and ending. Beyond it, all endings
-# of a kind share one buffer.
+# Maximum number of buffers, one for each kind and ending. Beyond it, all
+# endings of a kind share one buffer.
 _MAX_BUFFERS: Final = 500
 # Field with the ending of a run. Each ending has its own buffer, as ordinary
 # endings are frequent and those that explain a lost run are rare.
--- a/tests/log_fixtures.py
+++ b/tests/log_fixtures.py
@@ -1,4 +1,4 @@
-"""Fixtures of the decision log's tests: a log on a clock of the test's own."""
+"""Fixtures for tests of the decision log: a log with a simulated clock."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -10,22 +10,22 @@
 from pimentocross.cli.log_lines import LogLine, read_lines
 from pimentocross.observe.decisions import DecisionLog
 
-# What a process may write, as the pages for operators say, bytes a second.
+# Maximum bytes per second that a process writes, as documented for operators.
 MAX_BYTES_PER_SECOND = 60_000
 INTERVAL = 0.1
 
 
 class LogHarness:
-    """Standard output and the time, of one log.
+    """A decision log with simulated standard output and time.
 
     Attributes:
-        log: The log.
-        now: Present time.
-        stuck: Whether nobody reads.
+        log: The decision log.
+        now: Simulated time in seconds.
+        reader_stalled: Whether nobody reads the output.
     """
 
     def __init__(self) -> None:
-        """Starts a log that writes here."""
+        """Initializes an enabled log that writes to this harness."""
         self.now = 1_000.0
         self.reader_stalled = False
         self._written: list[bytes] = []
@@ -36,24 +36,24 @@
 
     @property
     def size(self) -> int:
-        """Bytes written."""
+        """Number of bytes written."""
         return sum(len(chunk) for chunk in self._written)
 
     def lines(self) -> list[LogLine]:
-        """Returns what was written, as it is read afterwards."""
+        """Returns the written lines, as the log reader decodes them."""
         return read_lines(b"".join(self._written).decode())
 
     def counts(self) -> Counter[str]:
-        """Returns how many decisions of each kind can be read afterwards."""
+        """Returns the number of written decisions by kind."""
         return Counter(line.kind for line in self.lines())
 
     def note(self, kind: str, **fields: object) -> None:
-        """Notes a decision."""
+        """Logs a decision."""
         with self._patched():
             self.log.note(kind, fields)
 
     def note_runs(self, kind: str, count: int, **fields: object) -> None:
-        """Notes as many decisions about runs."""
+        """Logs `count` decisions about runs."""
         with self._patched():
             for number in range(count):
                 named: dict[str, object] = {
@@ -64,7 +64,7 @@
                 self.log.note(kind, named | fields)
 
     def tick(self) -> None:
-        """Lets the log write, as it does ten times a second."""
+        """Flushes the log and advances the time by one flush interval."""
         with self._patched():
             self.log.flush()
         self.now += INTERVAL
--- a/tests/operator_fixtures.py
+++ b/tests/operator_fixtures.py
@@ -1,4 +1,4 @@
-"""Fixtures of what operators write, and of a VM that follows it."""
+"""Fixtures for an operator's records and a VM that follows them."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
@@ -11,43 +11,43 @@
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.users_platform import operator_config
 
-# A change is in force everywhere this long after its acknowledgement, in
-# seconds, as the users' pages ask.
+# Seconds after its acknowledgement within which a change must be in force
+# everywhere, as the users' pages require.
 APPLY_WITHIN = 2.0
 VM = "vm"
 
 
 class FollowingVm:
-    """A store, its operator, and a VM that follows what it writes."""
+    """A store, its operator, and a VM that follows the operator's records."""
 
     def __init__(self, within: float, evacuated_within: float) -> None:
-        """Starts with an empty store."""
+        """Initializes the VM with an empty store and the required delays."""
         self.store = StoreStandin()
         source = OperatorTopic(self.store.client(VM))
         self.follower = ConfigFollower(source, within, evacuated_within)
         self._version = 0
 
     async def publish(self) -> int:
-        """Writes the next version and returns it once it is acknowledged."""
+        """Writes the next version; returns it when it is acknowledged."""
         self._version += 1
         value = operator_config(self._version, {f"/q{self._version}/": "stock"})
         await self._write(Record("config", value))
         return self._version
 
     async def evacuate(self, zone: str) -> None:
-        """Asks that nothing more be sent to a zone."""
+        """Evacuates a zone, so that nothing new starts in it."""
         await self._write(Record(f"evacuate/{zone}", b"{}"))
 
     async def restore(self, zone: str) -> None:
-        """Takes a zone back."""
+        """Removes the evacuation of a zone."""
         await self._write(Record(f"evacuate/{zone}", None))
 
     async def lag(self, version: int) -> float:
-        """Returns how long it takes from now until a version is in force."""
+        """Returns the seconds from now until a version is in force."""
         return await self.lag_until(lambda: self._in_force(version))
 
     async def lag_until(self, condition: Callable[[], bool]) -> float:
-        """Returns how long it takes from now until something holds."""
+        """Returns the seconds from now until a condition is true."""
         began = trio.current_time()
         with trio.fail_after(30):
             while not condition():
@@ -66,7 +66,7 @@
 async def following_vm(
     within: float = APPLY_WITHIN, evacuated_within: float = float("inf")
 ) -> AsyncIterator[FollowingVm]:
-    """A VM that has the first version."""
+    """Runs a VM that has the first version for the block."""
     followed = FollowingVm(within, evacuated_within)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(followed.follower.run)
--- a/tests/platform_fixtures.py
+++ b/tests/platform_fixtures.py
@@ -1,4 +1,4 @@
-"""Fixtures of the adapter's tests: the users' platform on loopback."""
+"""Fixtures for tests of the platform adapter: the platform on loopback."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -36,31 +36,31 @@
 
 
 class LoopbackPlatform:
-    """The platform's services.
+    """Services of the platform that listen on loopback.
 
     Attributes:
-        store: The store.
-        store_address: Where it listens.
-        journal: What happened to runs.
-        workers: The workers.
+        store: Stand-in for the platform's store.
+        store_address: host:port at which the store listens.
+        journal: Events of all runs.
+        workers: Stand-ins for the workers.
     """
 
     def __init__(self) -> None:
-        """Starts empty."""
+        """Initializes a platform without workers."""
         self.store = StoreStandin()
         self.store_address = ""
         self.journal: list[RunEvent] = []
         self.workers: list[TaskWorkerStandin] = []
 
     async def configure(self, version: int, *prefixes: str) -> None:
-        """Publishes a configuration as the operator does."""
+        """Publishes a configuration like an operator."""
         value = operator_config(version, dict.fromkeys(prefixes, "stock"))
         await self.store.client("operator").append(
             "op", [Record("config", value)], 1.0
         )
 
     async def list_worker(self, worker: TaskWorkerStandin) -> None:
-        """Writes a worker's entry."""
+        """Writes the entry of a worker to the store."""
         record = Record(worker.life.id, server_entry(worker.life))
         await self.store.client("worker").append("servers", [record], 1.0)
 
@@ -69,7 +69,7 @@
 async def loopback_platform(
     workers: int = 3, seconds: float = 0.3
 ) -> AsyncIterator[LoopbackPlatform]:
-    """Serves a platform with a configuration and workers."""
+    """Serves a platform with a configuration and workers for the block."""
     platform = LoopbackPlatform()
     async with trio.open_nursery() as nursery:
 
@@ -100,7 +100,7 @@
 async def running_node(
     platform: LoopbackPlatform, name: str
 ) -> AsyncIterator[tuple[GatewayNode, dict[str, str]]]:
-    """Runs an entry VM's process within this one; killed at the end."""
+    """Runs an entry VM in this process; cancels it at the end."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "settings"
         values = write_settings(path, name, platform.store_address)
@@ -112,7 +112,7 @@
 
 
 def write_settings(path: Path, name: str, store: str) -> dict[str, str]:
-    """Writes a settings file as the platform does; returns its values."""
+    """Writes a settings file like the platform; returns its values."""
     ports = _free_ports(4)
     os.environ["PIMENTOCROSS_METRICS_PORT"] = str(ports[3])
     values = {
@@ -135,30 +135,30 @@
 
 def _free_ports(count: int) -> list[int]:
     sockets = [socket.socket() for _ in range(count)]
-    for one in sockets:
-        one.bind((HOST, 0))
-    ports = [one.getsockname()[1] for one in sockets]
-    for one in sockets:
-        one.close()
+    for probe in sockets:
+        probe.bind((HOST, 0))
+    ports = [probe.getsockname()[1] for probe in sockets]
+    for probe in sockets:
+        probe.close()
     return ports
 
 
 class Caller:
-    """A caller of one entry VM."""
+    """A caller of an entry VM."""
 
     def __init__(self, address: str) -> None:
-        """Takes the VM's callers' address."""
+        """Initializes the caller with the VM's host:port for callers."""
         self._pool = HttpPool(address)
 
     async def call(
         self, method: str, path: str, body: object = None
     ) -> HttpReply:
-        """Calls by the address, which the configuration names as host."""
+        """Sends a request with the address, which is the queues' host."""
         content = b"" if body is None else msgspec.json.encode(body)
         return await self._pool.call(method, path, content, 5.0)
 
     async def state(self, job: str) -> str:
-        """Returns a job's state, or the status if there is none."""
+        """Returns a job's state, or the HTTP status if it isn't 200."""
         reply = await self.call("GET", PREFIX + job)
         if reply.status != 200:
             return str(reply.status)
@@ -166,7 +166,7 @@
 
 
 def job_body(width: int = 2) -> dict[str, object]:
-    """Returns a submission of two steps."""
+    """Returns a submission with two steps."""
     step = {"count": width, "cpu": 1000, "mem_mb": 1000, "estimated_ms": 300}
     return {"spec": "x", "job_steps": [step, step | {"after": [0]}]}
 
@@ -174,7 +174,7 @@
 async def wait_until_ready(
     values: dict[str, str], seconds: float = 10.0
 ) -> None:
-    """Waits until the balancer would send callers to a VM."""
+    """Waits until a VM's readiness check succeeds."""
     caller = Caller(values["listen_addrs.ready"])
     with trio.fail_after(seconds):
         while True:
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -63,13 +63,13 @@
 
 
 def test_the_newest_lines_are_kept_within_a_bound() -> None:
-    console = LogHarness()
+    harness = LogHarness()
     for number in range(40_000):
         text = f"{number}" + "x" * 100
-        console.note("load", number=number, text=text)
+        harness.note("load", number=number, text=text)
         if number % 40 == 39:
-            console.tick()
-    recent = console.log.recent()
+            harness.tick()
+    recent = harness.log.recent()
     kept = read_lines(recent.decode())
     assert kept[-1].fields["number"] == 39_999
     assert 2_900_000 < len(recent) <= 3_000_000
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Entries that another writer puts among those of the workers."""
+"""Tests that invalid entries of other writers list no worker."""
 
 from collections.abc import Sequence
 import json
@@ -34,7 +34,7 @@
 
 _VALID = json.loads(server_entry(life(0)))
 _ID = life(0).id
-# One change each that leaves an entry which names no worker.
+# Changes to a valid entry, each of which makes it invalid.
 _INVALID_CHANGES: list[dict[str, object]] = [
     {"backend": 7},
     {"backend": ""},
@@ -59,7 +59,7 @@
 
 
 def _listed(records: Sequence[Record]) -> list[WorkerLife]:
-    """Returns what a directory lists after records."""
+    """Returns the listed worker lives after the records are appended."""
 
     async def read() -> list[WorkerLife]:
         store = StoreStandin()
@@ -73,7 +73,7 @@
 
 
 def _after(value: bytes) -> list[str]:
-    """Returns who is listed once a value has replaced a good entry."""
+    """Returns the listed ids after a value replaces a valid entry."""
     other = life(1)
     records = [
         Record(_ID, server_entry(life(0))),
@@ -139,7 +139,7 @@
 
 @real_time
 async def test_records_with_keys_that_are_no_text_hide_no_others() -> None:
-    # Served over HTTP: a reader must neither stop nor miss what follows.
+    # A reader over HTTP must neither stop nor miss the records that follow.
     async with loopback_platform(1) as platform:
         client = StoreClient(platform.store_address)
         topic = WorkerTopic(client)
--- a/tests/test_sight.py
+++ b/tests/test_owner_metrics.py
@@ -1,9 +1,10 @@
-"""What an owner shows of its loop, its passes and its take-over.
+"""Tests logs and metrics of an owner's event loop, passes and take-over.
 
-The owner of a cell of 246 workers was out of processor time for 84 s, and
-successors were replaced while they took over. No log or metric told how late
-the event loop was, what passes took of it, how many calls it gave up, or how
-far a take-over had come: `owner_begins` and `owner_ready` were all there was.
+Failure pattern: the owner of a cell of 246 workers had no CPU time left for
+84 s, and successors were replaced during their take-over. No log line or metric
+showed the delay of the event loop, the time spent in passes, the number of
+unanswered calls, or the progress of a take-over: there were only `owner_begins`
+and `owner_ready`.
 """
 
 from collections.abc import Iterator
@@ -46,12 +47,12 @@
 
 @contextmanager
 def _enabled_log() -> Iterator[DecisionLog]:
-    """Turns a log on for the block."""
+    """Enables a new decision log for the block."""
     log = DecisionLog()
     log.enabled = True
     with (
         mock.patch.object(decisions, "_log", log),
-        # Else lines go to the tests' own output.
+        # Otherwise lines go to the output of the tests.
         mock.patch.object(log, "flush"),
     ):
         yield log
@@ -106,7 +107,7 @@
     worker_counts = [
         line.fields["workers"] for line in _lines(log, "owner_adopts")
     ]
-    # Said when it changes, not each second.
+    # Logged when the number changes, not each second.
     assert worker_counts == [_WORKERS - 1, _WORKERS], worker_counts
 
 
@@ -133,7 +134,7 @@
 
 
 def run_cell_on_slow_vm() -> float:
-    """Runs a cell with work for a while; returns for how long."""
+    """Runs a cell with jobs on a slow VM; returns the duration in seconds."""
     took = 0.0
 
     async def run(clock: ChargingClock) -> None:
@@ -170,7 +171,7 @@
                     nursery.cancel_scope.cancel()
     late = [line for line in _lines(log, "late") if line.fields["late"] >= 0.3]
     assert 1 <= len(late) <= 3, late
-    # Nothing else ran, and the processor was not used either.
+    # No pass ran during the stall, and no CPU time was used.
     assert late[0].fields["passes"] < 0.2, late
     assert late[0].fields["processor"] < 0.3, late
     assert _increase(before, "pimentocross_loop_late_seconds_total") > 1.0
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The users' platform: the adapter and whole processes, on loopback."""
+"""Tests the platform adapter and whole processes on loopback."""
 
 import os
 from pathlib import Path
@@ -44,7 +44,7 @@
             if reply is not None and reply.status == 200:
                 break
             await trio.sleep(0.05)
-        # A VM accepts without an owner; its state is the owner's to tell.
+        # A VM accepts jobs without an owner; only the owner knows their state.
         while await caller.state(job) == "503":
             await trio.sleep(0.05)
     assert await caller.state(job) != "410", "an accepted job is known"
@@ -130,7 +130,7 @@
 
 @real_time
 async def test_a_caller_may_name_any_time_that_it_waits() -> None:
-    """One below 0 ended the process; all that it did for others ended too."""
+    """A negative deadline must not raise an error that ends the process."""
     async with loopback_platform() as platform:
         async with running_node(platform, "vm1") as (_, values):
             await wait_until_ready(values)
@@ -165,7 +165,7 @@
             await trio.sleep(0.5)
             assert (await caller.call("GET", "/new/")).status == 200
             assert (await caller.call("GET", PREFIX)).status == 404
-            # An older version that comes late changes nothing.
+            # An older version that arrives late is ignored.
             await platform.configure(4, PREFIX)
             await trio.sleep(0.3)
             assert (await caller.call("GET", "/new/")).status == 200
@@ -207,7 +207,7 @@
 
 
 class _Process:
-    """A real process of an entry VM."""
+    """An entry VM that runs in a process of its own."""
 
     def __init__(self, folder: str, name: str, store: str) -> None:
         path = Path(folder) / name
@@ -277,29 +277,30 @@
         await wait_until_ready(vm.values, 20)
 
 
-# About 50 lines each, 7,000 in all: more than wait (4,000) and fit in a pipe.
+# About 50 log lines each, 7,000 in all: more than the queue (4,000 lines) and a
+# pipe hold.
 _LOAD_JOBS = 140
 
 
 async def _submit_wide_jobs(vm: _Process) -> list[float]:
-    """Submits wide jobs for 10 s or more; returns how long each took."""
-    took = []
+    """Submits wide jobs for at least 10 s; returns the sorted latencies."""
+    latencies = []
     for number in range(_LOAD_JOBS):
         asked_at = trio.current_time()
         path = f"{PREFIX}{number:016x}"
         reply = await vm.caller.call("POST", path, job_body(12))
         assert reply.status == 200
-        took.append(trio.current_time() - asked_at)
+        latencies.append(trio.current_time() - asked_at)
         await trio.sleep(0.05)
-    return sorted(took)
+    return sorted(latencies)
 
 
 async def _time_submissions(stdout: int, *, until: str) -> list[float]:
-    """Loads a process whose output nobody reads, or that goes nowhere.
+    """Submits jobs to a process whose output is not read or is discarded.
 
     Args:
-        stdout: Where its output goes.
-        until: What its metrics have to tell in the end.
+        stdout: Destination of the process's output.
+        until: Text that its metrics page must contain in the end.
     """
     async with loopback_platform(6, seconds=0.05) as platform:
         with tempfile.TemporaryDirectory() as folder:
@@ -308,7 +309,7 @@
             try:
                 await wait_until_ready(vm.values, 20)
                 await _wait_until_accepted(vm.caller, "aa01")
-                took = await _submit_wide_jobs(vm)
+                latencies = await _submit_wide_jobs(vm)
                 metrics = Caller(vm.values["test.metrics"])
                 with trio.fail_after(30):
                     while True:
@@ -319,14 +320,14 @@
             finally:
                 process.kill()
                 process.communicate()
-    return took
+    return latencies
 
 
 @real_time
 async def test_a_reader_of_the_log_that_stalls_slows_no_request() -> None:
     lost = "pimentocross_log_lines_dropped_total{is="
     read = await _time_submissions(subprocess.DEVNULL, until="decisions_total")
-    # Lines beyond the rate, the pipe and the buffer are lost, and counted.
+    # Lines beyond the limits of rate, pipe and queue are dropped and counted.
     stalled = await _time_submissions(subprocess.PIPE, until=lost)
     middle = _LOAD_JOBS // 2
     assert stalled[middle] < 1.5 * read[middle] + 0.02
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store, on loopback."""
+"""Tests the client of the platform's store on loopback."""
 
 import trio
 
@@ -73,7 +73,11 @@
 
 
 async def test_kept_connections_that_went_silent_are_not_asked_again() -> None:
-    """One is overdue, so all that were kept may have gone silent with it."""
+    """Tests that a retry uses a new connection after a timeout.
+
+    If a reply is overdue, all idle connections may be dead as well. The client
+    must not try them one after the other.
+    """
     opened = 0
     silent = False
 
