--- a/pimentocross/backing/http.py
+++ b/pimentocross/backing/http.py
@@ -34,7 +34,7 @@
     """
 
     def __init__(self, reason: str, *, sent: bool) -> None:
-        """Initializes the error; `sent` is true if the request may be sent."""
+        """Initializes the error; `sent` is true if it may have been sent."""
         super().__init__(reason)
         self.sent = sent
 
