--- a/pimentocross/gateway/intake.py
+++ b/pimentocross/gateway/intake.py
@@ -265,7 +265,7 @@
             # A refusal does not tell what came of the request to the owner.
             return failure.result()
         note("handed_over", job=message.job)
-        meters.add_taken_in("handed over")
+        meters.add_intake_stored("handed over")
         return reply
 
     async def _may_store(self, message: _StorableRequest) -> bool:
@@ -299,9 +299,9 @@
             asked_before=failure.may_have_happened,
         )
         if isinstance(message, CancelJob):
-            meters.add_taken_in("cancel")
+            meters.add_intake_stored("cancel")
             return JobAnswer(Outcome.OK, JobState.CANCELLED)
-        meters.add_taken_in("submission")
+        meters.add_intake_stored("submission")
         return JobAnswer(Outcome.OK, JobState.QUEUED)
 
 
--- a/pimentocross/owner/intake.py
+++ b/pimentocross/owner/intake.py
@@ -171,7 +171,7 @@
         # The entry VM may have used an older or newer version of the queue.
         job.queue = self._config().newest_form(job.queue)
         note("job_taken_up", job=job_id, queue=job.queue.name)
-        meters.add_taken_up("submission")
+        meters.add_intake_processed("submission")
         self._wake()
         return self._registry.add(job)
 
@@ -180,7 +180,7 @@
         if job is None or job.ended:
             return None
         note("job_cancelled", job=job_id, state=job.state.value)
-        meters.add_taken_up("cancel")
+        meters.add_intake_processed("cancel")
         self._wake()
         return self._registry.cancel(job)
 
--- a/tests/slow_vm.py
+++ b/tests/slow_vm.py
@@ -274,7 +274,7 @@
 def _process_gc_settings() -> Iterator[None]:
     thresholds = gc.get_threshold()
     gc.collect()
-    process.prepare()
+    process.configure_collector()
     try:
         yield
     finally:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The users' platform: the adapter and whole processes, on loopback."""
+"""Tests the platform adapter and whole processes on loopback."""
 
 import os
 from pathlib import Path
@@ -32,13 +32,13 @@
     job_body,
     loopback_platform,
     running_node,
-    until_ready,
+    wait_until_ready,
     write_settings,
 )
 from tests.test_http import real_time
 
 
-async def _until_accepted(caller: Caller, job: str) -> None:
+async def _wait_until_accepted(caller: Caller, job: str) -> None:
     with trio.fail_after(15):
         while True:
             try:
@@ -48,13 +48,13 @@
             if reply is not None and reply.status == 200:
                 break
             await trio.sleep(0.05)
-        # A VM accepts without an owner; its state is the owner's to tell.
+        # A VM accepts jobs without an owner; only the owner knows their state.
         while await caller.state(job) == "503":
             await trio.sleep(0.05)
     assert await caller.state(job) != "410", "an accepted job is known"
 
 
-async def _until_state(caller: Caller, job: str, state: str) -> None:
+async def _wait_until_state(caller: Caller, job: str, state: str) -> None:
     with trio.fail_after(15):
         while await caller.state(job) != state:
             await trio.sleep(0.05)
@@ -64,11 +64,11 @@
 async def test_a_job_is_served_through_the_whole_path() -> None:
     async with loopback_platform() as platform:
         async with running_node(platform, "vm1") as (_, values):
-            await until_ready(values)
+            await wait_until_ready(values)
             caller = Caller(values["listen_addrs.frontend"])
-            await _until_accepted(caller, "aa01")
-            await _until_accepted(caller, "aa01")
-            await _until_state(caller, "aa01", "completed")
+            await _wait_until_accepted(caller, "aa01")
+            await _wait_until_accepted(caller, "aa01")
+            await _wait_until_state(caller, "aa01", "completed")
             assert await caller.state("unknown") == "410"
             reply = await caller.call("GET", PREFIX)
             assert msgspec.json.decode(reply.body) == {"pending": 0}
@@ -90,17 +90,17 @@
 async def test_workers_that_restart_under_their_ids_repeat_no_job() -> None:
     async with loopback_platform() as platform:
         async with running_node(platform, "vm1") as (_, values):
-            await until_ready(values)
+            await wait_until_ready(values)
             caller = Caller(values["listen_addrs.frontend"])
             for number in range(24):
                 job = f"aa{number:02}"
-                await _until_accepted(caller, job)
+                await _wait_until_accepted(caller, job)
                 if number % 8 == 7:
-                    await _until_state(caller, job, "completed")
+                    await _wait_until_state(caller, job, "completed")
                     for worker in platform.workers:
                         worker.restart()
             for number in range(24):
-                await _until_state(caller, f"aa{number:02}", "completed")
+                await _wait_until_state(caller, f"aa{number:02}", "completed")
     assert not find_overlapping_starts(platform.journal)
     assert not find_starts_after_success(platform.journal)
 
@@ -109,9 +109,9 @@
 async def test_malformed_submissions_are_named_and_change_nothing() -> None:
     async with loopback_platform() as platform:
         async with running_node(platform, "vm1") as (_, values):
-            await until_ready(values)
+            await wait_until_ready(values)
             caller = Caller(values["listen_addrs.frontend"])
-            await _until_accepted(caller, "aa01")
+            await _wait_until_accepted(caller, "aa01")
             bodies: list[object] = [
                 [],
                 {},
@@ -134,19 +134,27 @@
 
 @real_time
 async def test_a_caller_may_name_any_time_that_it_waits() -> None:
-    """One below 0 ended the process; all that it did for others ended too."""
+    """A negative deadline must not raise an error that ends the process."""
     async with loopback_platform() as platform:
         async with running_node(platform, "vm1") as (_, values):
-            await until_ready(values)
+            await wait_until_ready(values)
             caller = Caller(values["listen_addrs.frontend"])
-            await _until_accepted(caller, "aa01")
+            await _wait_until_accepted(caller, "aa01")
             pool = HttpPool(values["listen_addrs.frontend"])
-            for told in (b"-5", b"0", b"nan", b"inf", b"-inf", b"1e400", b"x"):
-                headers = [(b"x-deadline-ms", told)]
+            for deadline in (
+                b"-5",
+                b"0",
+                b"nan",
+                b"inf",
+                b"-inf",
+                b"1e400",
+                b"x",
+            ):
+                headers = [(b"x-deadline-ms", deadline)]
                 for method in ("GET", "DELETE"):
                     path = PREFIX + "unknown"
                     reply = await pool.call(method, path, b"", 5.0, headers)
-                    assert reply.status in (410, 503, 504), (told, reply)
+                    assert reply.status in (410, 503, 504), (deadline, reply)
             assert await caller.state("unknown") == "410"
 
 
@@ -154,14 +162,14 @@
 async def test_a_route_is_gone_and_another_there_within_a_second() -> None:
     async with loopback_platform() as platform:
         async with running_node(platform, "vm1") as (_, values):
-            await until_ready(values)
+            await wait_until_ready(values)
             caller = Caller(values["listen_addrs.frontend"])
-            await _until_accepted(caller, "aa01")
+            await _wait_until_accepted(caller, "aa01")
             await platform.configure(5, "/new/")
             await trio.sleep(0.5)
             assert (await caller.call("GET", "/new/")).status == 200
             assert (await caller.call("GET", PREFIX)).status == 404
-            # An older version that comes late changes nothing.
+            # An older version that arrives late is ignored.
             await platform.configure(4, PREFIX)
             await trio.sleep(0.3)
             assert (await caller.call("GET", "/new/")).status == 200
@@ -188,22 +196,22 @@
 ):
     async with loopback_platform(seconds=1.0) as platform:
         async with running_node(platform, "vm2") as (_, second):
-            await until_ready(second)
+            await wait_until_ready(second)
             caller = Caller(second["listen_addrs.frontend"])
             async with running_node(platform, "vm1") as (_, first):
-                await until_ready(first)
+                await wait_until_ready(first)
                 other = Caller(first["listen_addrs.frontend"])
-                await _until_accepted(other, "aa01")
+                await _wait_until_accepted(other, "aa01")
                 assert await caller.state("aa01") in ("queued", "running")
-            await _until_accepted(caller, "aa02")
-            await _until_state(caller, "aa01", "completed")
-            await _until_state(caller, "aa02", "completed")
+            await _wait_until_accepted(caller, "aa02")
+            await _wait_until_state(caller, "aa01", "completed")
+            await _wait_until_state(caller, "aa02", "completed")
     assert not find_overlapping_starts(platform.journal)
     assert not find_starts_after_success(platform.journal)
 
 
 class _Process:
-    """A real process of an entry VM."""
+    """An entry VM that runs in a process of its own."""
 
     def __init__(self, folder: str, name: str, store: str) -> None:
         path = Path(folder) / name
@@ -241,7 +249,7 @@
                 for vm in vms:
                     vm.start()
                 for vm in vms:
-                    await until_ready(vm.values, 20)
+                    await wait_until_ready(vm.values, 20)
                 await _kill_in_turn(vms)
             finally:
                 for vm in vms:
@@ -255,7 +263,7 @@
 async def _kill_in_turn(vms: list[_Process]) -> None:
     for number, vm in enumerate(vms):
         other = vms[(number + 1) % len(vms)].caller
-        await _until_accepted(vm.caller, f"aa{number}")
+        await _wait_until_accepted(vm.caller, f"aa{number}")
         assert vm.started is not None
         if number == 0:
             vm.started.send_signal(signal.SIGHUP)
@@ -268,43 +276,44 @@
             vm.started.kill()
             vm.started.wait()
         vm.start()
-        await _until_accepted(other, f"ab{number}")
-        await _until_state(other, f"aa{number}", "completed")
-        await until_ready(vm.values, 20)
+        await _wait_until_accepted(other, f"ab{number}")
+        await _wait_until_state(other, f"aa{number}", "completed")
+        await wait_until_ready(vm.values, 20)
 
 
-# About 50 lines each, 7,000 in all: more than wait (4,000) and fit in a pipe.
+# About 50 log lines each, 7,000 in all: more than the queue (4,000 lines) and a
+# pipe hold.
 _LOAD_JOBS = 140
 
 
-async def _load(vm: _Process) -> list[float]:
-    """Submits wide jobs for 10 s or more; returns how long each took."""
-    took = []
+async def _submit_wide_jobs(vm: _Process) -> list[float]:
+    """Submits wide jobs for at least 10 s; returns the sorted latencies."""
+    latencies = []
     for number in range(_LOAD_JOBS):
         asked_at = trio.current_time()
         path = f"{PREFIX}{number:016x}"
         reply = await vm.caller.call("POST", path, job_body(12))
         assert reply.status == 200
-        took.append(trio.current_time() - asked_at)
+        latencies.append(trio.current_time() - asked_at)
         await trio.sleep(0.05)
-    return sorted(took)
+    return sorted(latencies)
 
 
-async def _load_with(stdout: int, *, until: str) -> list[float]:
-    """Loads a process whose output nobody reads, or that goes nowhere.
+async def _time_submissions(stdout: int, *, until: str) -> list[float]:
+    """Submits jobs to a process whose output is not read or is discarded.
 
     Args:
-        stdout: Where its output goes.
-        until: What its metrics have to tell in the end.
+        stdout: Destination of the process's output.
+        until: Text that its metrics page must contain in the end.
     """
     async with loopback_platform(6, seconds=0.05) as platform:
         with tempfile.TemporaryDirectory() as folder:
             vm = _Process(folder, "vm1", platform.store_address)
             process = vm.start(stdout)
             try:
-                await until_ready(vm.values, 20)
-                await _until_accepted(vm.caller, "aa01")
-                took = await _load(vm)
+                await wait_until_ready(vm.values, 20)
+                await _wait_until_accepted(vm.caller, "aa01")
+                latencies = await _submit_wide_jobs(vm)
                 metrics = Caller(vm.values["test.metrics"])
                 with trio.fail_after(30):
                     while True:
@@ -315,15 +324,15 @@
             finally:
                 process.kill()
                 process.communicate()
-    return took
+    return latencies
 
 
 @real_time
 async def test_a_reader_of_the_log_that_stalls_slows_no_request() -> None:
     lost = "pimentocross_log_lines_dropped_total{is="
-    read = await _load_with(subprocess.DEVNULL, until="decisions_total")
-    # Lines beyond the rate, the pipe and the buffer are lost, and counted.
-    stalled = await _load_with(subprocess.PIPE, until=lost)
+    read = await _time_submissions(subprocess.DEVNULL, until="decisions_total")
+    # Lines beyond the limits of rate, pipe and queue are dropped and counted.
+    stalled = await _time_submissions(subprocess.PIPE, until=lost)
     middle = _LOAD_JOBS // 2
     assert stalled[middle] < 1.5 * read[middle] + 0.02
 
@@ -332,10 +341,10 @@
 async def test_a_live_process_is_asked_for_a_jobs_story() -> None:
     async with loopback_platform() as platform:
         async with running_node(platform, "vm1") as (_, values):
-            await until_ready(values)
+            await wait_until_ready(values)
             caller = Caller(values["listen_addrs.frontend"])
-            await _until_accepted(caller, "aa01")
-            await _until_state(caller, "aa01", "completed")
+            await _wait_until_accepted(caller, "aa01")
+            await _wait_until_state(caller, "aa01", "completed")
             metrics = Caller(values["test.metrics"])
             reply = await metrics.call("GET", DECISIONS_PATH)
             assert reply.status == 200
