--- a/pimentocross/entry/reports.py
+++ b/pimentocross/entry/reports.py
@@ -114,7 +114,7 @@
         load.running,
         load.free_slots,
         len(owner.workers),
-        sum(worker.met for worker in owner.workers.values()),
+        sum(worker.is_synced for worker in owner.workers.values()),
         owner.fold.state.open_jobs,
     )
 
@@ -124,7 +124,7 @@
     return WorkerStatus(
         worker.name,
         cell,
-        worker.met,
+        worker.is_synced,
         worker.leaving,
         commitments.capacity,
         commitments.free,
@@ -152,9 +152,9 @@
 def _why_worker(owner: CellOwner, worker: Worker) -> str:
     if worker.leaving:
         state = "leaving, gets nothing new"
-    elif worker.met:
+    elif worker.is_synced:
         state = "met"
-    elif worker.ever_met:
+    elif worker.ever_synced:
         state = "silent"
     else:
         state = f"not met since epoch {owner.epoch}"
--- a/pimentocross/owner/crashes.py
+++ b/pimentocross/owner/crashes.py
@@ -15,15 +15,15 @@
 from pimentocross.owner.worker import RunKey, Worker
 from pimentocross.owner.worker_ends import WorkerEnd, WorkerEnds
 from pimentocross.work.crash_history import (
-    HELD_MOST,
+    MAX_UNDECIDED_WAIT,
     NO_CRASHES,
-    OUTAGE_SPAN,
-    PROVEN_AFTER,
-    SURE_WITHIN,
+    OUTAGE_WINDOW,
+    STARTUP_CRASH_WINDOW,
+    SURE_CRASH_WINDOW,
     Crash,
     is_outage,
 )
-from pimentocross.work.records import DoubtRow
+from pimentocross.work.records import SuspectRunRow
 from pimentocross.work.state import Run, RunState, Task
 
 # Workers of one rack that ended within so many seconds of each other count as
@@ -91,7 +91,10 @@
                 self.note_listed(worker.life)
 
     def _adopt(
-        self, life: KnownLife, rows: Iterable[DoubtRow], known: list[Worker]
+        self,
+        life: KnownLife,
+        rows: Iterable[SuspectRunRow],
+        known: list[Worker],
     ) -> None:
         lapsed = []
         for row in rows:
@@ -120,7 +123,7 @@
         if worker.life.draining or worker.last_reply_at == float("-inf"):
             return
         rows = [
-            DoubtRow(
+            SuspectRunRow(
                 task.name, crash.run, crash.lived, crash.sure, crash.isolated
             )
             for task, crash in self._observed_runs(worker)
@@ -138,11 +141,11 @@
 
     def _add_lapsed(self, worker: Worker, affected: list[_AffectedRun]) -> None:
         self._lapsed.setdefault(worker, []).extend(affected)
-        until = trio.current_time() + HELD_MOST
+        until = trio.current_time() + MAX_UNDECIDED_WAIT
         for task, crash in affected:
             if crash.is_early:
                 self._undecided[task] += 1
-            if task.crash_history.holds(self._undecided[task]):
+            if task.crash_history.must_wait(self._undecided[task]):
                 task.not_before = until
 
     def note_responding(self, worker: Worker) -> None:
@@ -198,7 +201,7 @@
             if not crash.is_early:
                 continue
             self._undecided[task] -= 1
-            if not task.crash_history.holds(self._undecided[task]):
+            if not task.crash_history.must_wait(self._undecided[task]):
                 task.not_before = min(task.not_before, now)
             if not self._undecided[task]:
                 del self._undecided[task]
@@ -243,7 +246,7 @@
         if self._silent_lives.has_record(worker.life):
             # The record holds every run that had just started there, so this
             # one had lived longer.
-            return crash._replace(lived=max(crash.lived, PROVEN_AFTER))
+            return crash._replace(lived=max(crash.lived, STARTUP_CRASH_WINDOW))
         return crash
 
     def _observed_runs(self, worker: Worker) -> Iterator[_AffectedRun]:
@@ -306,7 +309,7 @@
         workers = sum(1 for _ in self._workers())
         own = task.crash_history.crashes + 1
         others = max(len(self._ends.recent()) - own, 0)
-        return others / (OUTAGE_SPAN * max(workers, 1))
+        return others / (OUTAGE_WINDOW * max(workers, 1))
 
     def _attribute_crash(
         self, life: str, affected: list[_AffectedRun], in_outage: bool
@@ -351,7 +354,7 @@
     """Returns whether a worker ended soon after a run had surely begun."""
     if run.state is not RunState.RUNNING:
         return False
-    return _ended_at(worker) - run.state_at <= SURE_WITHIN
+    return _ended_at(worker) - run.state_at <= SURE_CRASH_WINDOW
 
 
 def _ended_at(worker: Worker) -> float:
--- a/pimentocross/owner/endings.py
+++ b/pimentocross/owner/endings.py
@@ -41,7 +41,7 @@
         The run that ended, or None if it was not known any more.
     """
     newest = ending.run >= task.last_run
-    task.note_begun()
+    task.note_has_run()
     run = drop_run(task, ending.run, worker)
     if ending.checkpoint and newest and not task.done:
         _set_checkpoint(task, ending.checkpoint)
--- a/pimentocross/owner/intake.py
+++ b/pimentocross/owner/intake.py
@@ -165,7 +165,7 @@
             return None
         job = records.decode_submission(job_id, value)
         # Its VM may have known an older or a newer form of the queue.
-        job.queue = self._config().newest_form(job.queue)
+        job.queue = self._config().latest_queue(job.queue)
         note("job_taken_up", job=job_id, queue=job.queue.name)
         meters.add_taken_up("submission")
         self._wake()
--- a/pimentocross/owner/isolation.py
+++ b/pimentocross/owner/isolation.py
@@ -41,8 +41,13 @@
     def has_waited_too_long(self, task: Task, now: float) -> bool:
         """Returns whether a task has waited too long to be isolated."""
         lasting = task.step.spec.lasting
-        patience = task.crash_history.patience(lasting=lasting)
-        return now - self._waiting_since.setdefault(task, now) >= patience
+        max_isolation_wait = task.crash_history.max_isolation_wait(
+            lasting=lasting
+        )
+        return (
+            now - self._waiting_since.setdefault(task, now)
+            >= max_isolation_wait
+        )
 
     def note_placed(self, task: Task) -> None:
         """Ends the wait of a task that was placed."""
--- a/pimentocross/owner/jobs.py
+++ b/pimentocross/owner/jobs.py
@@ -101,7 +101,7 @@
             for step in occurrence.steps:
                 if step.undone:
                     self._later_steps[step] = None
-        job.take_steps_done()
+        job.pop_completed_steps()
         for occurrence in job.occurrences:
             self._open_turns(occurrence)
 
@@ -115,7 +115,7 @@
                 took = round(job.ended_at - job.accepted_at, 3)
                 note("job_ended", job=job.id, state=job.state, took=took)
         else:
-            for step in job.take_steps_done():
+            for step in job.pop_completed_steps():
                 self._open_steps.pop(step, None)
                 self._later_steps.pop(step, None)
                 self._open_turns(step.occurrence)
@@ -155,7 +155,7 @@
         return sum(
             1
             for job in self._jobs.values()
-            if job.queue.name == queue and not job.ended and not job.begun
+            if job.queue.name == queue and not job.ended and not job.has_run
         )
 
     def apply_config(self, config: WorkConfig) -> None:
@@ -179,11 +179,11 @@
             del self._jobs[job.id]
             for prefix in _prefixes(job):
                 self._ledger.put(PlainRecord(prefix + job.id, _nothing))
-            job.take_apart()
+            job.drop_tasks()
 
     def _open_turns(self, occurrence: Occurrence) -> None:
         for step in occurrence.steps:
-            if step in self._later_steps and step.turn:
+            if step in self._later_steps and step.dependencies_done:
                 del self._later_steps[step]
                 self._open_steps[step] = None
 
--- a/pimentocross/owner/keeper.py
+++ b/pimentocross/owner/keeper.py
@@ -148,7 +148,7 @@
             (task, run)
             for (task, _), run in worker.runs.items()
             if run.state is not RunState.DECIDED
-            and (not run.began_at or run.may_come_late(now))
+            and (not run.began_at or run.may_start_late(now))
         ]
         for task, run in unsure:
             worker.remove(task, run.number)
@@ -337,7 +337,7 @@
         run = Run(number, worker.number, trio.current_time())
         run.enter(RunState.RUNNING, trio.current_time())
         task.add_run(run)
-        task.note_begun()
+        task.note_has_run()
         worker.add(task, run)
         note(
             "run_unexpected",
@@ -408,7 +408,7 @@
         """True if an unanswered start may be sent again to this worker."""
         return (
             run.state is RunState.UNSURE
-            and run.may_come_late(trio.current_time())
+            and run.may_start_late(trio.current_time())
             and may_resend_start(task)
             # It may have crashed the former life: a second crash by a resent
             # start would not be counted.
@@ -453,7 +453,7 @@
     if run.state is RunState.SENT or run.state is RunState.UNSURE:
         run.enter(RunState.RUNNING, now)
         run.note_start_settled()
-        task.note_begun()
+        task.note_has_run()
     if not run.began_at:
         run.began_at = now
         run.percent_at = now
--- a/pimentocross/owner/late_starts.py
+++ b/pimentocross/owner/late_starts.py
@@ -88,7 +88,7 @@
     def open(self, start_soon: Callable[..., None]) -> None:
         """Sets how to start background tasks. Must be called first."""
         self._start_soon = start_soon
-        former = PlainRecord(records.FORMER_LATE_STARTS, lambda: None)
+        former = PlainRecord(records.LEGACY_LATE_STARTS, lambda: None)
         self._ledger.put_with_next(former)
 
     def restore(self, value: bytes) -> None:
@@ -113,7 +113,7 @@
         if left is None:
             # The start was answered, or the former owner was of a version that
             # doesn't record late starts.
-            task.note_begun()
+            task.note_has_run()
             if self._former is not None:
                 return
         if life is not None and not life.born:
@@ -190,7 +190,7 @@
     def hold(self, task: Task, run: Run) -> None:
         """Keeps a task waiting while a dropped run may still begin."""
         now = trio.current_time()
-        if not run.may_come_late(now) or task.done or task.step.job.ended:
+        if not run.may_start_late(now) or task.done or task.step.job.ended:
             return
         if task.step.spec.copies and not task.step.spec.gang:
             # Several runs of the task may run at once. One that begins late is
@@ -234,7 +234,7 @@
         for (task, number), run in list(self._unsettled.items()):
             in_flight = run.state in _IN_FLIGHT
             if task.runs.get(number) is not run or not (
-                in_flight or run.may_come_late(now)
+                in_flight or run.may_start_late(now)
             ):
                 del self._unsettled[task, number]
                 continue
--- a/pimentocross/owner/lived_runs.py
+++ b/pimentocross/owner/lived_runs.py
@@ -14,7 +14,7 @@
 from pimentocross.owner.ledger import Ledger, PlainRecord
 from pimentocross.owner.worker import Worker
 from pimentocross.work import records
-from pimentocross.work.records import LivedRow
+from pimentocross.work.records import LivedRunRow
 from pimentocross.work.state import Run, Task
 
 
@@ -32,8 +32,8 @@
         """
         self._ledger = ledger
         self._workers = workers
-        self._record = PlainRecord(records.LIVED, self._encode)
-        self._former: tuple[LivedRow, ...] = ()
+        self._record = PlainRecord(records.LIVED_RUNS, self._encode)
+        self._former: tuple[LivedRunRow, ...] = ()
         self._has_recorded_rows = False
 
     def restore(self, value: bytes) -> None:
@@ -42,7 +42,7 @@
         Raises:
             RecordError: The record has an unknown format.
         """
-        self._former = records.decode_lived(value)
+        self._former = records.decode_lived_runs(value)
         self._has_recorded_rows = bool(self._former)
 
     def adopt(self, runs: Iterable[tuple[Task, Run]]) -> None:
@@ -61,17 +61,17 @@
             if self._has_recorded_rows or any(self._rows()):
                 self._ledger.put_with_next(self._record)
 
-    def _rows(self) -> Iterator[LivedRow]:
+    def _rows(self) -> Iterator[LivedRunRow]:
         for worker in self._workers():
             for key in worker.suspects:
                 task, number = key
                 lived = worker.lived(worker.runs[key])
                 if lived > 0:
-                    yield LivedRow(
+                    yield LivedRunRow(
                         task.name, number, worker.number, round(lived, 3)
                     )
 
     def _encode(self) -> bytes | None:
         rows = tuple(self._rows())
         self._has_recorded_rows = bool(rows)
-        return records.encode_lived(rows) if rows else None
+        return records.encode_lived_runs(rows) if rows else None
--- a/pimentocross/owner/orders.py
+++ b/pimentocross/owner/orders.py
@@ -196,7 +196,7 @@
             worker.clock.note(reply.clock, now)
         if reply.verdict is StartVerdict.STARTED:
             self.started.set()
-            task.note_begun()
+            task.note_has_run()
             if run.state is RunState.SENT:
                 run.enter(RunState.RUNNING, now)
             return
--- a/pimentocross/owner/owner.py
+++ b/pimentocross/owner/owner.py
@@ -368,17 +368,17 @@
     ) -> None:
         if kind == records.SUBMISSION:
             jobs[name] = records.decode_submission(name, value)
-        elif kind == records.LEARNED:
+        elif kind == records.LEARNED_ESTIMATES:
             self._learned.restore(records.decode_learned(value))
         elif kind == records.LATE_STARTS:
             self._late_starts.restore(value)
-        elif kind == records.DOUBTS:
-            self._doubts.restore(records.decode_doubt(value))
-        elif kind == records.ENDS:
+        elif kind == records.SILENT_LIVES:
+            self._doubts.restore(records.decode_silent_life(value))
+        elif kind == records.WORKER_ENDS:
             self._ends.restore(value)
-        elif kind == records.REPEATS:
+        elif kind == records.RESENT_STARTS:
             self._repeats.restore(value)
-        elif kind == records.LIVED:
+        elif kind == records.LIVED_RUNS:
             self._lived_runs.restore(value)
         elif kind == records.LEASES:
             self._former_leases.restore(value)
@@ -396,7 +396,9 @@
             await trio.sleep(const.SWEEP_INTERVAL)
             self._book.sweep()
             crashes.sweep()
-            self._ledger.put(PlainRecord(records.LEARNED, self._learned.encode))
+            self._ledger.put(
+                PlainRecord(records.LEARNED_ESTIMATES, self._learned.encode)
+            )
 
 
 def _restore(
--- a/pimentocross/owner/placer.py
+++ b/pimentocross/owner/placer.py
@@ -98,7 +98,7 @@
             placement = self._place(task, task.last_run + 1, candidates, rack)
             if placement is None:
                 no_isolated_place = no_isolated_place or isolated
-                if task.bound_for is not None or isolated:
+                if task.destination is not None or isolated:
                     continue
                 break
             rack = rack or placement.worker.life.rack
@@ -158,7 +158,7 @@
             image = task.step.spec.image
             self._rebalancer.note_filler(image, worker, self._now)
         run = Run(number, worker.number, self._now)
-        task.bound_for = None
+        task.destination = None
         task.add_run(run)
         worker.add(task, run)
         self._note_changed(worker)
@@ -209,9 +209,9 @@
 
     The destination is dropped once it has expired.
     """
-    if task.bound_for is None:
+    if task.destination is None:
         return places
-    if now >= task.bound_for.until:
-        task.bound_for = None
+    if now >= task.destination.until:
+        task.destination = None
         return places
-    return places.restricted_to(task.bound_for.worker)
+    return places.restricted_to(task.destination.worker)
--- a/pimentocross/owner/rebalancer.py
+++ b/pimentocross/owner/rebalancer.py
@@ -209,7 +209,7 @@
 def _move_task(
     task: Task, worker: Worker, to: int, orders: Orders, now: float
 ) -> None:
-    task.bound_for = Destination(to, now + _MOVE_TIMEOUT)
+    task.destination = Destination(to, now + _MOVE_TIMEOUT)
     reason = "makes room for what fills"
     orders.stop(worker, task, _run_of(task, worker), reason)
 
--- a/pimentocross/owner/reclaimer.py
+++ b/pimentocross/owner/reclaimer.py
@@ -75,7 +75,7 @@
         """
         if not step.spec.lasting or not self._short_below_share:
             return False
-        if any(task.bound_for is not None for task in step.waiting()):
+        if any(task.destination is not None for task in step.waiting()):
             return False
         return step not in self._evicted_at or not self._is_restart_due(
             step, now
--- a/pimentocross/owner/resent_starts.py
+++ b/pimentocross/owner/resent_starts.py
@@ -11,7 +11,7 @@
 from pimentocross.owner.ledger import Ledger, PlainRecord
 from pimentocross.owner.worker import RunKey
 from pimentocross.work import records
-from pimentocross.work.records import RepeatsRecord
+from pimentocross.work.records import ResentStartsRecord
 from pimentocross.work.state import Run, Task
 
 
@@ -35,8 +35,8 @@
         self._epoch = epoch
         self._former_epoch = former_epoch
         self._ledger = ledger
-        self._record = PlainRecord(records.REPEATS, self._encode)
-        self._former: RepeatsRecord | None = None
+        self._record = PlainRecord(records.RESENT_STARTS, self._encode)
+        self._former: ResentStartsRecord | None = None
         self._runs: dict[RunKey, Run] = {}
         self._stored_events: dict[RunKey, trio.Event] = {}
 
@@ -46,7 +46,7 @@
         Raises:
             RecordError: The record has an unknown format.
         """
-        self._former = records.decode_repeats(value)
+        self._former = records.decode_resent_starts(value)
 
     def begin(self) -> None:
         """Writes the first record. All runs must have been adopted."""
@@ -83,4 +83,4 @@
                 del self._runs[key]
                 self._stored_events.pop(key, None)
         rows = tuple((task.name, number) for task, number in self._runs)
-        return records.encode_repeats(self._epoch, rows)
+        return records.encode_resent_starts(self._epoch, rows)
--- a/pimentocross/owner/roster.py
+++ b/pimentocross/owner/roster.py
@@ -148,7 +148,7 @@
     def _refuses_excess(self, worker: Worker) -> bool:
         """True if a worker itself refuses runs beyond its capacity."""
         pool = self._config().services.get(worker.life.service)
-        return pool is not None and pool.guarded
+        return pool is not None and pool.enforces_capacity
 
     def open(self, parts: RosterParts) -> None:
         """Sets the owner's other parts; called before all other methods."""
--- a/pimentocross/owner/run_control.py
+++ b/pimentocross/owner/run_control.py
@@ -113,7 +113,7 @@
             return "the worker leaves"
         if (
             worker.unsound_until > now
-            and not run.may_come_late(now)
+            and not run.may_start_late(now)
             and self._should_move(worker, task, run)
         ):
             task.failed_on.add(worker.number)
--- a/pimentocross/owner/silent_lives.py
+++ b/pimentocross/owner/silent_lives.py
@@ -15,8 +15,8 @@
 from pimentocross.owner.ledger import Ledger, PlainRecord
 from pimentocross.owner.life_numbers import KnownLife
 from pimentocross.work import records
-from pimentocross.work.crash_history import HELD_MOST
-from pimentocross.work.records import DoubtRecord, DoubtRow
+from pimentocross.work.crash_history import MAX_UNDECIDED_WAIT
+from pimentocross.work.records import SilentLifeRecord, SuspectRunRow
 from pimentocross.work.spec import TaskName
 
 
@@ -30,11 +30,11 @@
     """
 
     life: KnownLife
-    rows: dict[tuple[TaskName, int], DoubtRow]
+    rows: dict[tuple[TaskName, int], SuspectRunRow]
     until: float
 
     def encode(self) -> bytes:
-        return records.encode_doubt(*self.life, tuple(self.rows.values()))
+        return records.encode_silent_life(*self.life, tuple(self.rows.values()))
 
 
 class SilentLives:
@@ -45,19 +45,21 @@
         self._ledger = ledger
         self._lives: dict[str, _SilentLife] = {}
 
-    def restore(self, record: DoubtRecord) -> None:
+    def restore(self, record: SilentLifeRecord) -> None:
         """Restores the record that a former owner wrote of one life."""
         rows = {(row.task, row.run): row for row in record.rows}
         life = KnownLife(record.life, record.machine, record.born)
-        until = trio.current_time() + HELD_MOST
+        until = trio.current_time() + MAX_UNDECIDED_WAIT
         self._lives[record.life] = _SilentLife(life, rows, until)
 
-    def restored(self) -> Iterator[tuple[KnownLife, Sequence[DoubtRow]]]:
+    def restored(self) -> Iterator[tuple[KnownLife, Sequence[SuspectRunRow]]]:
         """Yields the restored lives, each with its recorded runs."""
         for life, rows, _ in self._lives.values():
             yield life, tuple(rows.values())
 
-    def note_silent(self, life: WorkerLife, rows: Sequence[DoubtRow]) -> None:
+    def note_silent(
+        self, life: WorkerLife, rows: Sequence[SuspectRunRow]
+    ) -> None:
         """Records the runs that may have crashed a life that went silent.
 
         An empty record is written too: it says that all runs of the life had
@@ -67,7 +69,7 @@
         entry = _SilentLife(
             KnownLife(life.id, life.machine, life.born),
             dict(former.rows) if former is not None else {},
-            trio.current_time() + HELD_MOST,
+            trio.current_time() + MAX_UNDECIDED_WAIT,
         )
         for row in rows:
             entry.rows[row.task, row.run] = row
@@ -94,7 +96,7 @@
     def _put(self, life: str, entry: _SilentLife | None) -> None:
         self._ledger.put(
             PlainRecord(
-                records.DOUBTS + life,
+                records.SILENT_LIVES + life,
                 lambda: None if entry is None else entry.encode(),
             )
         )
--- a/pimentocross/owner/worker.py
+++ b/pimentocross/owner/worker.py
@@ -17,7 +17,7 @@
 from pimentocross.owner import const
 from pimentocross.owner.clock import WorkerClock
 from pimentocross.placement.pacing import Reading
-from pimentocross.work.crash_history import PROVEN_AFTER
+from pimentocross.work.crash_history import STARTUP_CRASH_WINDOW
 from pimentocross.work.spec import NO_SIZE, Size, StepSpec
 from pimentocross.work.state import Job, Run, RunState, Step, Task
 
@@ -381,7 +381,7 @@
 
     def isolate(self, task: Task, run: Run) -> None:
         """Lets nothing else start here until a run has lived long enough."""
-        self.isolated[(task, run.number)] = task.crash_history.isolation
+        self.isolated[(task, run.number)] = task.crash_history.isolation_seconds
 
     def isolate_adopted(self) -> None:
         """Isolates the runs that a former owner had isolated here.
@@ -414,7 +414,7 @@
         See `PROVEN_AFTER`.
         """
         return all(
-            task.step.job is job or self.lived(run) >= PROVEN_AFTER
+            task.step.job is job or self.lived(run) >= STARTUP_CRASH_WINDOW
             for (task, _), run in self.runs.items()
         )
 
@@ -446,7 +446,7 @@
             and not task.step.spec.gang
             and run.percent >= AT_WORK_PERCENT
             and (run.is_adopted or now - run.began_at >= least)
-            and not run.may_come_late(now)
+            and not run.may_start_late(now)
         ]
 
     def drain_left(self, now: float) -> float:
--- a/pimentocross/owner/worker_ends.py
+++ b/pimentocross/owner/worker_ends.py
@@ -12,8 +12,8 @@
 from pimentocross.owner import wall
 from pimentocross.owner.ledger import Ledger, PlainRecord
 from pimentocross.work import records
-from pimentocross.work.crash_history import OUTAGE_SPAN
-from pimentocross.work.records import EndRow
+from pimentocross.work.crash_history import OUTAGE_WINDOW
+from pimentocross.work.records import WorkerEndRow
 
 # Enough to detect an outage in a cell of any size.
 _RECORDED_ENDS_MOST: Final = 64
@@ -39,7 +39,7 @@
     def __init__(self, ledger: Ledger) -> None:
         """Initializes an empty list that is recorded in the ledger."""
         self._ledger = ledger
-        self._record = PlainRecord(records.ENDS, self._encode)
+        self._record = PlainRecord(records.WORKER_ENDS, self._encode)
         self._ends: deque[WorkerEnd] = deque()
 
     def restore(self, value: bytes) -> None:
@@ -49,7 +49,7 @@
             RecordError: The record has an unexpected format.
         """
         now = trio.current_time()
-        for row in records.decode_ends(value):
+        for row in records.decode_worker_ends(value):
             # Clocks of VMs differ: an end must not lie in the future.
             at = min(now + row.at - wall.now(), now)
             self._ends.append(WorkerEnd(at, row.rack, row.explained))
@@ -61,16 +61,18 @@
 
     def recent(self) -> list[WorkerEnd]:
         """Returns the ends within the last `OUTAGE_SPAN` seconds."""
-        before = trio.current_time() - OUTAGE_SPAN
+        before = trio.current_time() - OUTAGE_WINDOW
         while self._ends and self._ends[0].at < before:
             self._ends.popleft()
         return list(self._ends)
 
     def _encode(self) -> bytes:
         wall_offset = wall.now() - trio.current_time()
-        return records.encode_ends(
+        return records.encode_worker_ends(
             [
-                EndRow(round(end.at + wall_offset, 3), end.rack, end.explained)
+                WorkerEndRow(
+                    round(end.at + wall_offset, 3), end.rack, end.explained
+                )
                 for end in self.recent()[-_RECORDED_ENDS_MOST:]
             ]
         )
--- a/pimentocross/vms/__init__.py
+++ b/pimentocross/vms/__init__.py
@@ -1,1 +1,1 @@
-"""Workers as an owner sees them: capacity, commitments, health."""
+"""An owner's view of workers: capacity, reservations and reachability."""
--- a/pimentocross/vms/commitments.py
+++ b/pimentocross/vms/commitments.py
@@ -1,49 +1,53 @@
-"""What a worker is committed to: reserved before a start is sent."""
+"""Resources reserved on a worker, before the start of a task is sent."""
 
 from pimentocross.backing.workers import NOTHING, Resources
 
 
 class OverCommitError(Exception):
-    """A reservation would exceed what the worker can carry."""
+    """A reservation would exceed the capacity of the worker."""
 
 
 class Commitments:
-    """Reservations of one worker, never above its capacity."""
+    """Reservations on one worker.
+
+    `reserve` never exceeds the worker's capacity. Tasks that run there already
+    are counted even if they exceed it.
+    """
 
     def __init__(self) -> None:
-        """Starts with no capacity and nothing reserved."""
+        """Initializes without capacity or reservations."""
         self._capacity = NOTHING
         self._reserved: dict[str, Resources] = {}
         self._total = NOTHING
 
     @property
     def capacity(self) -> Resources:
-        """What the worker can carry."""
+        """All resources of the worker."""
         return self._capacity
 
     @property
     def free(self) -> Resources:
-        """What is not reserved; negative parts if capacity shrank."""
+        """Unreserved resources; negative where more is reserved than exists."""
         return self._capacity.minus(self._total)
 
     @property
     def tasks(self) -> dict[str, Resources]:
-        """Reservations by task."""
+        """Reserved resources by task."""
         return self._reserved
 
     def set_capacity(self, capacity: Resources) -> None:
-        """Takes what the worker says of its capacity."""
+        """Sets the capacity that the worker reported."""
         self._capacity = capacity
 
     def fits(self, size: Resources) -> bool:
-        """True if the size can still be reserved."""
+        """True if `size` can be reserved in addition."""
         return size.fits_in(self.free)
 
     def reserve(self, task: str, size: Resources) -> None:
-        """Reserves for a task.
+        """Reserves resources for a task, unless it has a reservation.
 
         Raises:
-            OverCommitError: It does not fit; nothing is reserved.
+            OverCommitError: The task doesn't fit; nothing is reserved.
         """
         if task in self._reserved:
             return
@@ -52,21 +56,21 @@
         self._add(task, size)
 
     def adopt(self, task: str, size: Resources) -> None:
-        """Notes a task that the worker runs already, whether it fits."""
+        """Reserves for a task that runs there already, even if too large."""
         if task not in self._reserved:
             self._add(task, size)
 
     def release(self, task: str) -> None:
-        """Gives a task's reservation back."""
+        """Releases the reservation of a task, if there is one."""
         size = self._reserved.pop(task, None)
         if size is not None:
             self._total = self._total.minus(size)
         if not self._reserved:
-            # Sums of fractions leave a rest; nothing reserved is nothing.
+            # Rounding errors of the fractional sums must not remain.
             self._total = NOTHING
 
     def clear(self) -> None:
-        """Gives everything back: the worker's process is gone."""
+        """Releases all reservations, as the worker's process has ended."""
         self._reserved.clear()
         self._total = NOTHING
 
--- a/pimentocross/vms/worker.py
+++ b/pimentocross/vms/worker.py
@@ -1,4 +1,4 @@
-"""One worker as its cell's owner sees it, and the task that talks to it."""
+"""A worker as its cell's owner sees it, and the exchanges with it."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -31,37 +31,37 @@
 
 
 class WorkerEvents(Protocol):
-    """What the owner wants to hear of a worker."""
+    """Callbacks by which the owner learns of changes of a worker."""
 
     def on_report(self, worker: "Worker", report: TaskReport) -> None:
-        """A task changed on the worker."""
+        """Handles a task that changed on the worker."""
         ...
 
     def on_not_started(self, worker: "Worker", spec: TaskSpec) -> None:
-        """A start was taken, yet the worker does not run the task."""
+        """Handles a start after which the worker doesn't run the task."""
         ...
 
     def on_lapsed(self, worker: "Worker") -> None:
-        """All leases of the worker have lapsed in silence."""
+        """Handles lapsed leases of a silent worker, or tasks that it lost."""
         ...
 
     def on_usage(self, worker: "Worker", usage: Sequence[Usage]) -> None:
-        """The worker reported usage, times on this process's clock."""
+        """Handles reported usage; its times are on this process's clock."""
         ...
 
     def on_change(self, worker: "Worker") -> None:
-        """The worker's reachability, capacity or address changed."""
+        """Handles a change of reachability, draining or service address."""
         ...
 
 
 class Worker:
-    """A worker: its commitments, its health and the exchanges with it.
+    """A worker: its reservations, its leases and the exchanges with it.
 
     Attributes:
-        commitments: What is reserved on it.
-        leaving: True once it gets nothing new.
-        service_address: Where its service tasks answer, as host:port.
-        connections: Connections that its service tasks accept.
+        commitments: Resources that are reserved on the worker.
+        leaving: Whether the worker is draining and gets no new tasks.
+        service_address: Address of its service tasks, as host:port.
+        connections: Number of connections that its service tasks accept.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         authority: Authority,
         epoch: int,
     ) -> None:
-        """Binds the worker to the epoch of one ownership of its cell."""
+        """Initializes a worker for an ownership of its cell, with its epoch."""
         self.commitments = Commitments()
         self.leaving = False
         self.service_address = ""
@@ -87,53 +87,53 @@
         self._incarnation = ""
         self._clock = 0.0
         self._clock_read_at = 0.0
-        self._seen = 0
-        self._met = False
-        self._ever_met = False
+        self._last_seen_change = 0
+        self._synced = False
+        self._ever_synced = False
         self._lease_ends_at = float("-inf")
         self._granted_until = 0.0
         self._service_granted_until = 0.0
-        self._doubtful = False
+        self._reply_missing = False
         self._starts: dict[str, Start] = {}
         self._commands: list[Command] = []
-        self._commanded = trio.Event()
+        self._command_queued = trio.Event()
         self._batch_running: set[str] = set()
         self._stopped = False
 
     @property
     def name(self) -> str:
-        """Its name."""
+        """Name of the worker."""
         return self._name
 
     @property
-    def met(self) -> bool:
-        """True while what runs on it is known."""
-        return self._met
+    def is_synced(self) -> bool:
+        """True while the owner knows which tasks run on the worker."""
+        return self._synced
 
     @property
-    def ever_met(self) -> bool:
-        """True once it has rejected lower epochs under this ownership."""
-        return self._ever_met
+    def ever_synced(self) -> bool:
+        """True once it has answered this ownership and rejects lower epochs."""
+        return self._ever_synced
 
     @property
     def lease_ends_at(self) -> float:
-        """When all leases granted under this ownership have lapsed."""
+        """When all leases that may be in force have lapsed, monotonic."""
         return self._lease_ends_at
 
     @property
     def incarnation(self) -> str:
-        """Id of its process, as last met."""
+        """Id of the worker process that answered the newest synchronization."""
         return self._incarnation
 
     def start(self, spec: TaskSpec) -> None:
-        """Reserves for a task and queues its start.
+        """Reserves resources for a task and queues its start.
 
         Raises:
-            OverCommitError: It does not fit; nothing is queued.
+            OverCommitError: The task doesn't fit; nothing is queued.
         """
         self.commitments.reserve(spec.task, spec.size)
         self._starts[spec.task] = Start(spec)
-        self._commanded.set()
+        self._command_queued.set()
 
     def stop(self, task: str, attempt: Attempt, *, checkpoint: bool) -> None:
         """Queues the stop of a task."""
@@ -144,20 +144,20 @@
         self._queue(Throttle(task, attempt, share))
 
     def forget(self, task: str, attempt: Attempt) -> None:
-        """Queues that a task's end is recorded."""
+        """Queues the message that the end of a task is recorded."""
         self._queue(Forget(task, attempt))
 
     def end(self) -> None:
-        """Sends nothing any more: the ownership ends."""
+        """Stops the exchanges, as the ownership ends."""
         self._stopped = True
 
     async def run(self, events: WorkerEvents) -> None:
-        """Exchanges with the worker until the ownership ends."""
+        """Runs exchanges with the worker until the ownership ends."""
         while not self._stopped:
             if not self._authority.may_act(self._resource):
                 await trio.sleep(const.EXCHANGE_BACKOFF)
             elif await self._exchange_once(events):
-                await self._wait_turn()
+                await self._wait_for_next_exchange()
             else:
                 self._check_lapsed(events)
                 await trio.sleep(const.EXCHANGE_BACKOFF)
@@ -169,63 +169,64 @@
         )
         if not queued:
             self._commands.append(command)
-            self._commanded.set()
+            self._command_queued.set()
 
-    async def _wait_turn(self) -> None:
+    async def _wait_for_next_exchange(self) -> None:
         interval = const.EXCHANGE_INTERVAL
         if self._batch_running:
             interval = const.BUSY_EXCHANGE_INTERVAL
         if not self._starts and not self._commands:
-            self._commanded = trio.Event()
+            self._command_queued = trio.Event()
         with trio.move_on_after(interval):
-            await self._commanded.wait()
+            await self._command_queued.wait()
 
     async def _exchange_once(self, events: WorkerEvents) -> bool:
         commands = self._next_commands()
-        request = self._build(commands)
+        request = self._build_request(commands)
         try:
             reply = await self._link.exchange(request)
         except WorkerUnreachableError:
-            self._doubtful = True
+            self._reply_missing = True
             return False
         except WorkerRefusedError as error:
             self._note_refusal(error.refusal, events)
             return False
-        self._doubtful = False
+        self._reply_missing = False
         if self._stopped:
             return True
         self._note_reply(request, reply, events)
-        self._settle_commands(commands, reply, events)
+        self._complete_commands(commands, reply, events)
         return True
 
     def _next_commands(self) -> list[Command]:
-        if not self._met:
+        if not self._synced:
             return []
-        # In doubt no lease is granted, and without one nothing may start.
-        starts = [] if self._doubtful else list(self._starts.values())
+        # No lease is granted while replies are missing, and nothing may start
+        # without one.
+        starts = [] if self._reply_missing else list(self._starts.values())
         return [*starts, *self._commands][: const.COMMANDS_MOST]
 
-    def _build(self, commands: Sequence[Command]) -> Exchange:
+    def _build_request(self, commands: Sequence[Command]) -> Exchange:
         self._sequence += 1
         now = trio.current_time()
         not_after = min(self._authority.acts_until, now + const.COMMAND_TTL)
-        if self._met and not self._doubtful:
-            self._grant(now)
+        if self._synced and not self._reply_missing:
+            self._extend_leases(now)
         return Exchange(
             self._cell,
             self._epoch,
             self._sequence,
-            self._incarnation if self._met else "",
+            self._incarnation if self._synced else "",
             self._to_worker_clock(not_after),
             self._to_worker_clock(self._granted_until),
             self._to_worker_clock(self._service_granted_until),
-            self._seen if self._met else 0,
+            self._last_seen_change if self._synced else 0,
             [COMMANDS.pack(command) for command in commands],
         )
 
-    def _grant(self, now: float) -> None:
-        # While answers fail, none is granted: each try could land and renew,
-        # and the lease that has to lapse would move on for ever.
+    def _extend_leases(self, now: float) -> None:
+        # Not called while replies are missing: each try could still arrive and
+        # renew the lease, so that the owner could never wait for its end.
         timing = self._authority.timing
         self._granted_until = now + timing.lease
         self._service_granted_until = now + const.SERVICE_LEASE
@@ -233,14 +234,14 @@
         self._lease_ends_at = max(self._lease_ends_at, lease_end)
 
     def _to_worker_clock(self, at: float) -> float:
-        # The worker read its clock before its reply came in, so the result
-        # is at the latest the moment meant, never after it.
+        # The worker read its clock before its reply arrived, so the result is
+        # never later than the intended time.
         ahead = at - self._clock_read_at
         return self._clock + ahead * (1 - self._authority.timing.drift)
 
     def _note_refusal(self, refusal: Refusal, events: WorkerEvents) -> None:
         if refusal in (Refusal.INCARNATION, Refusal.TOO_LATE):
-            self._met = False
+            self._synced = False
             events.on_change(self)
 
     def _note_reply(
@@ -248,36 +249,36 @@
     ) -> None:
         self._clock = reply.clock
         self._clock_read_at = trio.current_time()
-        self._seen = reply.seen
-        was = (self._met, self.leaving, self.service_address)
+        self._last_seen_change = reply.seen
+        previous = (self._synced, self.leaving, self.service_address)
         self.commitments.set_capacity(reply.capacity)
         self.service_address = reply.service_address
         self.connections = reply.connections
         self.leaving = self.leaving or reply.leaving
         if not request.incarnation:
-            self._meet(reply, events)
+            self._sync(reply, events)
         for report in reply.changes:
             self._note_report(report, events)
-        self._pass_usage(reply, events)
-        if was != (self._met, self.leaving, self.service_address):
+        self._forward_usage(reply, events)
+        if previous != (self._synced, self.leaving, self.service_address):
             events.on_change(self)
 
-    def _meet(self, reply: ExchangeReply, events: WorkerEvents) -> None:
+    def _sync(self, reply: ExchangeReply, events: WorkerEvents) -> None:
         reported = {report.spec.task for report in reply.changes}
-        held = [t for t in self.commitments.tasks if t not in reported]
+        missing = [t for t in self.commitments.tasks if t not in reported]
         self._incarnation = reply.incarnation
-        self._met = self._ever_met = True
-        # An earlier owner may have granted leases until it was fenced here.
+        self._synced = self._ever_synced = True
+        # A former owner may have granted leases until this exchange fenced it.
         lease_end = trio.current_time() + self._authority.timing.lease_wait
         self._lease_ends_at = max(self._lease_ends_at, lease_end)
         self._batch_running.clear()
-        for task in held:
-            # Its process is gone, or a start never arrived there.
+        for task in missing:
+            # The process that ran the task ended, or its start never arrived.
             self.commitments.release(task)
             start = self._starts.pop(task, None)
             if start is not None:
                 events.on_not_started(self, start.spec)
-        if held:
+        if missing:
             events.on_lapsed(self)
 
     def _note_report(self, report: TaskReport, events: WorkerEvents) -> None:
@@ -291,7 +292,7 @@
             self._batch_running.discard(spec.task)
         events.on_report(self, report)
 
-    def _settle_commands(
+    def _complete_commands(
         self,
         commands: Sequence[Command],
         reply: ExchangeReply,
@@ -309,7 +310,9 @@
                 self.commitments.release(spec.task)
                 events.on_not_started(self, spec)
 
-    def _pass_usage(self, reply: ExchangeReply, events: WorkerEvents) -> None:
+    def _forward_usage(
+        self, reply: ExchangeReply, events: WorkerEvents
+    ) -> None:
         if not reply.usage:
             return
         shift = self._clock_read_at - reply.clock
@@ -320,8 +323,8 @@
         events.on_usage(self, shifted)
 
     def _check_lapsed(self, events: WorkerEvents) -> None:
-        if self._met and trio.current_time() > self._lease_ends_at:
-            self._met = False
+        if self._synced and trio.current_time() > self._lease_ends_at:
+            self._synced = False
             self._starts.clear()
             self._commands.clear()
             events.on_lapsed(self)
@@ -329,10 +332,10 @@
 
 
 def cell_resource(cell: str) -> str:
-    """Returns the name under which a cell is owned."""
+    """Returns the name of the resource whose owner owns the cell."""
     return f"cell:{cell}"
 
 
 def is_exclusive(kind: TaskKind) -> bool:
-    """True for tasks that must never run in two places."""
+    """True for kinds of tasks that must never run on two workers at once."""
     return kind is not TaskKind.SERVICE
--- a/pimentocross/work/__init__.py
+++ b/pimentocross/work/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs as the product knows them: queues, steps, tasks and their runs."""
+"""Data model of jobs: queues, steps, tasks, runs and their stored records."""
--- a/pimentocross/work/crash_history.py
+++ b/pimentocross/work/crash_history.py
@@ -1,64 +1,73 @@
-"""Which task a crash of a worker is put down to.
-
-Load pattern: a task crashes each worker that starts it, as a rule at once, and
-a dozen other runs go with each; workers crash for reasons of their own as well,
-one by one or a rack at a time. What had hardly begun on a crashed worker is
-started again alone: nothing else starts on that worker until the run has
-outlived its earlier crashes, so that another crash names its cause.
+"""Attributes crashes of workers to the tasks that caused them.
+
+Load pattern: a task crashes each worker that starts it, usually at once, and
+about a dozen other runs are lost with each worker. Workers also crash for
+unrelated reasons, one by one or a whole rack at a time. A task whose run had
+only just started on a crashed worker is restarted in isolation: nothing else
+starts on its worker until the run has outlived its earlier crashes, so that
+another crash can only be caused by this task.
 """
 
 from collections.abc import Iterable
 import math
 from typing import Final, NamedTuple
 
-# A run that lived this long, in seconds, was not fatal to start. Two listings
-# of a worker tell.
-PROVEN_AFTER: Final = 0.5
-# A run that lived this long clears its task of earlier crashes; one of a task
-# that lasts sooner, as it meets the crashes of others for as long as it runs.
-CLEARED_AFTER: Final = 10.0
-_CLEARED_AFTER_LASTING: Final = 3.0
-# From this many crashes on a task is isolated however long its runs lived.
-_ISOLATED_AFTER: Final = 3
-# A worker is kept for an isolated run for no longer than this, in seconds.
-_ISOLATION_MOST: Final = 5.0
-# A task that has waited to be isolated for so long, in seconds, starts without:
-# users count what lasts as lost if it is away for 6 s.
-_PATIENCE: Final = 1.5
-# Another one that has crashed so many workers at its start waits until those
-# that are kept for others are free: one more crash beside others proves nothing
-# and is the third.
-_PATIENT_AFTER: Final = 2
-_PATIENCE_MOST: Final = 2 * _ISOLATION_MOST
-# A task is given up at a crash of an isolated run from so many sure ones on ...
-_SURE_MOST: Final = 2
-# ... one that lasts from more, as all of its job goes with it ...
-_SURE_MOST_LASTING: Final = 3
-# ... or from so many of any kind ...
-_ISOLATED_MOST: Final = 4
-# ... and from so many, isolated or not, whatever else may explain them.
-_CRASHES_MOST: Final = 5
-# With as many crashes, counted or likely, a task waits for what is likely to be
-# decided, for so many seconds at most: workers that stay down for long tell of
-# a crash only after the task could have started again.
-_HELD_AFTER: Final = 3
-HELD_MOST: Final = 30.0
-# What befalls a task that does no harm may be this unlikely: a large cell runs
-# a hundred thousand tasks a day.
-_CHANCE_LEAST: Final = 1e-6
-# A crash is sure if it came within this after the answer to the start, in
-# seconds, as far as can be told.
-SURE_WITHIN: Final = 0.25
-
-
-# Workers that go for no known reason are looked at for so many seconds ...
-OUTAGE_SPAN: Final = 10.0
-# ... those that go within this of each other, in seconds, being one event ...
-_EVENT_SPAN: Final = 1.0
-# ... and if they are this share of the workers, in so many events or as many as
-# that share is, an isolated run may be hit by the next.
-_OUTAGE_EVENTS: Final = 3
-_OUTAGE_SHARE: Final = 0.05
+# A run that lived for this many seconds didn't crash its worker by starting.
+# The time covers two listings of a worker.
+STARTUP_CRASH_WINDOW: Final = 0.5
+# A run that lived for this many seconds clears the earlier crashes of its task.
+# Lasting tasks are cleared sooner: the longer they run, the more crashes that
+# other tasks cause hit them.
+CRASHES_CLEARED_AFTER: Final = 10.0
+_CRASHES_CLEARED_AFTER_LASTING: Final = 3.0
+# A task with this many crashes is isolated however long its runs lived.
+_ISOLATE_FROM_CRASHES: Final = 3
+# Seconds for which a worker is reserved for an isolated run at most.
+_MAX_ISOLATION: Final = 5.0
+# Seconds that a task waits for an isolated place before it starts without one.
+# Users count a lasting task as lost once it is away for 6 s.
+_ISOLATION_WAIT: Final = 1.5
+# Other tasks with this many crashes in a row at their start wait until the
+# workers that are reserved for isolated runs are free: a crash next to other
+# runs would be their third and prove nothing.
+_LONG_WAIT_FROM_EARLY: Final = 2
+_LONG_ISOLATION_WAIT: Final = 2 * _MAX_ISOLATION
+# When an isolated run crashes its worker, its task is given up if it has this
+# many sure crashes ...
+_SURE_LIMIT: Final = 2
+# ... or this many if it is a lasting task, whose whole job ends with it ...
+_SURE_LIMIT_LASTING: Final = 3
+# ... or this many crashes of any kind.
+_ISOLATED_LIMIT: Final = 4
+# With this many crashes, a task is given up whether its runs were isolated or
+# not, and also during an outage.
+_CRASH_LIMIT: Final = 5
+# Once its counted and undecided crashes reach this number, a task waits until
+# the undecided ones are decided, but no longer than MAX_UNDECIDED_WAIT seconds.
+# A worker that stays down for long shows that it crashed only after the task
+# could have been started again.
+_WAIT_FROM_CRASHES: Final = 3
+MAX_UNDECIDED_WAIT: Final = 30.0
+# Crashes that are less likely than this to be a coincidence are blamed on the
+# task. A large cell runs 100,000 tasks a day, of which few harmless ones may be
+# given up.
+_MIN_COINCIDENCE_PROBABILITY: Final = 1e-6
+# A crash is sure if the worker ended within this many seconds of its answer to
+# the start, as far as the owner can observe.
+SURE_CRASH_WINDOW: Final = 0.25
+
+
+# Seconds for which ends of workers without a known cause count towards an
+# outage.
+OUTAGE_WINDOW: Final = 10.0
+# Ends within this many seconds of each other are one event, such as the failure
+# of a rack.
+_EVENT_WINDOW: Final = 1.0
+# It is an outage if this share of the workers ended, in this many events or in
+# as many as that share has workers. The next event may then hit an isolated
+# run.
+_MIN_OUTAGE_EVENTS: Final = 3
+_MIN_OUTAGE_SHARE: Final = 0.05
 
 
 class Crash(NamedTuple):
@@ -66,12 +75,13 @@
 
     Attributes:
         run: Number of the run.
-        lived: Seconds for which it was seen to live.
-        sure: Whether it had surely begun, and its worker was gone soon after.
+        lived: Seconds for which the run was seen running.
+        sure: Whether the run had certainly started and its worker ended within
+            `SURE_CRASH_WINDOW` of that.
         isolated: Whether nothing else had just started on its worker.
-        in_outage: Whether workers go for other reasons as well just now.
-        hazard: Ends of workers of late, a second and worker, but for those
-            under the same task.
+        in_outage: Whether workers currently also end for other reasons.
+        hazard: Recent ends of workers per second and worker, without those
+            that ended while they ran the same task.
     """
 
     run: int
@@ -83,20 +93,22 @@
 
     @property
     def is_early(self) -> bool:
-        """True if the run may have crashed its worker by its start."""
-        return self.lived < PROVEN_AFTER
+        """True if the start of the run may have crashed its worker."""
+        return self.lived < STARTUP_CRASH_WINDOW
 
 
 class CrashHistory(NamedTuple):
-    """Crashes of workers under a task.
+    """Crashes of workers that ran a task.
 
     Attributes:
-        crashes: Workers that crashed under it, or as it was sent there.
-        sure: Those of them that surely went soon after the run had begun.
-        early: Those in a row that crashed soon after it had started.
-        survived: The most seconds that a run has lived, and others may join
-            the next one only after more.
-        run: Newest run that was counted.
+        crashes: Number of workers that crashed while they ran the task or
+            while its start was on the way to them.
+        sure: Number of them that are sure crashes, see `Crash`.
+        early: Number of the newest crashes in a row that happened within
+            `STARTUP_CRASH_WINDOW` of the start.
+        survived: Longest lifetime of a run in seconds. The next isolated run
+            has to live longer before other runs may join it.
+        run: Number of the newest run that was counted.
     """
 
     crashes: int = 0
@@ -107,29 +119,30 @@
 
     @property
     def needs_isolation(self) -> bool:
-        """True if the next run has to be isolated."""
-        return self.early > 0 or self.crashes >= _ISOLATED_AFTER
+        """True if the next run of the task has to be isolated."""
+        return self.early > 0 or self.crashes >= _ISOLATE_FROM_CRASHES
 
     @property
-    def isolation(self) -> float:
-        """Seconds that an isolated run has to live until others may join it."""
-        return min(self.survived + PROVEN_AFTER, _ISOLATION_MOST)
+    def isolation_seconds(self) -> float:
+        """Seconds that an isolated run must live before others may join it."""
+        return min(self.survived + STARTUP_CRASH_WINDOW, _MAX_ISOLATION)
 
-    def patience(self, *, lasting: bool) -> float:
-        """Returns for how many seconds a task waits to be isolated at most."""
-        if lasting or self.early < _PATIENT_AFTER:
-            return _PATIENCE
-        return _PATIENCE_MOST
+    def max_isolation_wait(self, *, lasting: bool) -> float:
+        """Returns the seconds that a task waits for an isolated place."""
+        if lasting or self.early < _LONG_WAIT_FROM_EARLY:
+            return _ISOLATION_WAIT
+        return _LONG_ISOLATION_WAIT
 
     def after(self, crash: Crash, *, lasting: bool = False) -> "CrashHistory":
         """Returns the history after one more crash.
 
-        A run that may begin on the next life of a worker, or that a new owner
-        finds in the records, meets several ends and counts once.
+        A run counts once, although several ends of workers can be reported for
+        it: its start may still be carried out by the next life of the worker,
+        and a new owner may find the run in the records.
         """
         if crash.run <= self.run:
             return self
-        if crash.lived >= _cleared_after(lasting=lasting):
+        if crash.lived >= _crashes_cleared_after(lasting=lasting):
             return CrashHistory(1, 1, 0, crash.lived, crash.run)
         return CrashHistory(
             self.crashes + 1,
@@ -139,71 +152,75 @@
             crash.run,
         )
 
-    def holds(self, undecided: int) -> bool:
-        """True if a task has to wait until likely crashes are decided.
+    def must_wait(self, undecided: int) -> bool:
+        """True if the task must wait until undecided crashes are decided.
 
         Args:
-            undecided: Workers that fell silent soon after the task had started
-                there, and weren't heard or replaced yet.
+            undecided: Number of workers that fell silent soon after the task
+                had started there and have neither replied nor been replaced.
         """
-        return undecided > 0 and self.crashes + undecided >= _HELD_AFTER
+        return undecided > 0 and self.crashes + undecided >= _WAIT_FROM_CRASHES
 
     def after_isolation(self) -> "CrashHistory":
-        """Returns what is left once a run has outlived its isolation."""
-        lived = max(self.survived, PROVEN_AFTER)
+        """Returns the history after a run has outlived its isolation."""
+        lived = max(self.survived, STARTUP_CRASH_WINDOW)
         return self._replace(early=0, survived=lived)
 
     def after_living(self, lived: float, *, lasting: bool) -> "CrashHistory":
-        """Returns what is left once a run has lived for some seconds."""
-        if lived >= _cleared_after(lasting=lasting):
+        """Returns the history after a run has lived for `lived` seconds."""
+        if lived >= _crashes_cleared_after(lasting=lasting):
             return NO_CRASHES
-        if self.early and lived >= self.isolation:
+        if self.early and lived >= self.isolation_seconds:
             return self.after_isolation()
         return self
 
     def gives_up(self, crash: Crash, *, lasting: bool) -> bool:
-        """True if the task is given up, its newest crash being counted."""
-        if self._is_chance(crash.hazard):
+        """True if the task is given up; `crash` is its newest, counted here."""
+        if self._is_likely_coincidence(crash.hazard):
             return False
-        if self.crashes >= _CRASHES_MOST:
+        if self.crashes >= _CRASH_LIMIT:
             return True
         if not crash.isolated or crash.in_outage:
             return False
-        sure = _SURE_MOST_LASTING if lasting else _SURE_MOST
-        return self.sure >= sure or self.crashes >= _ISOLATED_MOST
+        sure = _SURE_LIMIT_LASTING if lasting else _SURE_LIMIT
+        return self.sure >= sure or self.crashes >= _ISOLATED_LIMIT
 
-    def _is_chance(self, hazard: float) -> bool:
-        """True if workers go so often that they may have gone on their own.
+    def _is_likely_coincidence(self, hazard: float) -> bool:
+        """True if workers end so often that the crashes may be coincidental.
 
-        Not if all of them went as the task started, which tells enough.
+        False if every worker crashed just as the task started: that is evidence
+        enough.
         """
-        # What a new owner only infers counts as lived for just so long.
-        if self.survived <= PROVEN_AFTER:
+        # If a new owner can only infer how long a run has lived, it assumes
+        # exactly STARTUP_CRASH_WINDOW.
+        if self.survived <= STARTUP_CRASH_WINDOW:
             return False
         expected = hazard * self.survived * self.crashes
-        likely = expected**self.crashes / math.factorial(self.crashes)
-        return likely > _CHANCE_LEAST
+        probability = expected**self.crashes / math.factorial(self.crashes)
+        return probability > _MIN_COINCIDENCE_PROBABILITY
 
 
-def _cleared_after(*, lasting: bool) -> float:
-    return _CLEARED_AFTER_LASTING if lasting else CLEARED_AFTER
+def _crashes_cleared_after(*, lasting: bool) -> float:
+    return _CRASHES_CLEARED_AFTER_LASTING if lasting else CRASHES_CLEARED_AFTER
 
 
-def is_outage(unexplained: Iterable[float], workers: int) -> bool:
-    """True if workers go so often that isolation proves little.
+def is_outage(end_times: Iterable[float], workers: int) -> bool:
+    """True if workers end so often that a crash in isolation proves little.
 
     Args:
-        unexplained: When workers went within `OUTAGE_SPAN` on which nothing had
-            just started, in any order.
-        workers: How many are in use.
+        end_times: Times within `OUTAGE_WINDOW` at which workers ended on which
+            nothing had just started, in any order.
+        workers: Number of workers in use.
     """
-    went = sorted(unexplained)
-    events, began = 0, float("-inf")
-    for at in went:
-        if at - began > _EVENT_SPAN:
-            events, began = events + 1, at
-    least = max(workers * _OUTAGE_SHARE, 1)
-    return len(went) >= least and events >= min(least, _OUTAGE_EVENTS)
+    ordered = sorted(end_times)
+    events, event_start = 0, float("-inf")
+    for at in ordered:
+        if at - event_start > _EVENT_WINDOW:
+            events, event_start = events + 1, at
+    min_ended = max(workers * _MIN_OUTAGE_SHARE, 1)
+    return len(ordered) >= min_ended and events >= min(
+        min_ended, _MIN_OUTAGE_EVENTS
+    )
 
 
 NO_CRASHES: Final = CrashHistory()
--- a/pimentocross/work/queue.py
+++ b/pimentocross/work/queue.py
@@ -1,23 +1,23 @@
-"""Queues, the services whose workers run them, and who may be asked where."""
+"""Configuration of queues and of the services whose workers run their tasks."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
 
 
 class Queue(NamedTuple):
-    """One queue of jobs.
+    """Settings of a queue of jobs.
 
     Attributes:
-        name: Its name, unique within a configuration.
-        host: Host that callers name.
-        prefix: Path that callers' paths begin with, a slash at its end.
-        service: Service whose workers run its tasks.
-        priority: 0 comes first.
-        attempts: Runs of one task that may fail.
-        slack: A job is in time within this many times its longest chain of
-            work, and `target_latency` more.
-        target_latency: Seconds.
-        asks_adviser: Whether only workers named by the adviser may run it.
+        name: Name of the queue, unique within a configuration.
+        host: Host name of callers' requests to the queue.
+        prefix: Start of the path of callers' requests, with a slash at the end.
+        service: Service whose workers run the tasks.
+        priority: Priority of the jobs; 0 is the highest.
+        attempts: Number of failed runs of one task after which its job fails.
+        slack: A job is in time if it ends within `slack` times its critical
+            path, plus `target_latency`.
+        target_latency: Seconds that a job may take in addition.
+        asks_adviser: Whether only workers that the adviser names may run tasks.
     """
 
     name: str
@@ -32,23 +32,23 @@
 
 
 class ServicePool(NamedTuple):
-    """One service.
+    """Settings of a service and its workers.
 
     Attributes:
-        name: Its name.
-        guarded: Whether its workers refuse what does not fit.
-        connections: Connections that one worker takes from all of us.
-        standby: Whether its machines are off until moved elsewhere.
+        name: Name of the service.
+        enforces_capacity: Whether its workers refuse tasks that don't fit.
+        connections: Connections that one worker accepts from all VMs together.
+        standby: Whether its machines are off until they are moved elsewhere.
     """
 
     name: str
-    guarded: bool
+    enforces_capacity: bool
     connections: int
     standby: bool
 
 
 class CallerLimits(NamedTuple):
-    """Bounds of callers' requests; sizes in bytes, times in seconds."""
+    """Limits of callers' requests; sizes in bytes, times in seconds."""
 
     header_bytes: int
     body_bytes: int
@@ -64,15 +64,15 @@
     services: Mapping[str, ServicePool]
     limits: CallerLimits
 
-    def newest_form(self, queue: Queue) -> Queue:
-        """Returns a queue as configured now; as it was if it was dropped."""
+    def latest_queue(self, queue: Queue) -> Queue:
+        """Returns the queue as configured now, unchanged if it was removed."""
         return next((q for q in self.queues if q.name == queue.name), queue)
 
     def find_queue(self, host: str, path: str) -> Queue | None:
-        """Returns the queue of the longest prefix that a path begins with."""
-        fitting = [
+        """Returns the queue with the longest matching prefix, or None."""
+        matching = [
             queue
             for queue in self.queues
             if queue.host == host and path.startswith(queue.prefix)
         ]
-        return max(fitting, key=lambda q: len(q.prefix), default=None)
+        return max(matching, key=lambda q: len(q.prefix), default=None)
--- a/pimentocross/work/records.py
+++ b/pimentocross/work/records.py
@@ -1,8 +1,9 @@
-"""How jobs and their progress are kept in the store.
+"""Encodes and decodes the records of jobs and workers in the store.
 
-A job has two keys: its submission, written once, and its progress, written
-whole with each change. Values are msgpack arrays that begin with the version
-of their form. Keys are short, as each byte of the store is paid for.
+A job has two keys: its submission, which is written once, and its progress,
+which is rewritten whole with each change. Values are msgpack arrays that begin
+with the version of their format. Keys are short because the store charges for
+each byte.
 """
 
 from collections.abc import Sequence
@@ -15,25 +16,28 @@
 from pimentocross.work.spec import JobSpec, TaskName
 from pimentocross.work.state import Job, JobState, Run, RunState, Step, Task
 
-FORM: Final = 1
+FORMAT_VERSION: Final = 1
 SUBMISSION: Final = "j"
 PROGRESS: Final = "p"
 WORKER: Final = "w"
-LEARNED: Final = "l"
-# Beside a worker's record, whose form a former version has to read.
+LEARNED_ESTIMATES: Final = "l"
+# Kept apart from the worker's record, whose format earlier versions of the
+# software must be able to read.
 BORN: Final = "b"
-# Beside a job's progress, whose form a former version has to read.
+# Kept apart from the job's progress, whose format earlier versions of the
+# software must be able to read.
 CRASHES: Final = "c"
 LATE_STARTS: Final = "s"
-# Where a former version tells by its clock until when starts may come late. It
-# is removed, as such a version would go by one that isn't written any more.
-FORMER_LATE_STARTS: Final = "h"
+# Earlier versions of the software stored until when starts may arrive late, as
+# times of their VM's clock. The record is removed: an earlier version would
+# rely on it although it isn't updated any more.
+LEGACY_LATE_STARTS: Final = "h"
 LEASES: Final = "g"
-DOUBTS: Final = "d"
-ENDS: Final = "e"
-LIVED: Final = "v"
-REPEATS: Final = "r"
-# In the topic of what entry VMs store for an owner.
+SILENT_LIVES: Final = "d"
+WORKER_ENDS: Final = "e"
+LIVED_RUNS: Final = "v"
+RESENT_STARTS: Final = "r"
+# Used in the topic in which entry VMs store jobs and cancels for an owner.
 CANCEL: Final = "x"
 
 _encode: Final = msgspec.msgpack.Encoder().encode
@@ -41,11 +45,11 @@
 
 
 class RecordError(Exception):
-    """A record that this version can't read."""
+    """A record has a format that this version of the software can't read."""
 
 
 class SubmissionRecord(NamedTuple):
-    """A job as accepted."""
+    """A job as it was accepted."""
 
     form: int
     queue: Queue
@@ -54,14 +58,19 @@
 
 
 class RunRecord(NamedTuple):
-    """A run that may be on a worker; `worker` is a number in the roster."""
+    """A run that may be on a worker.
+
+    Attributes:
+        number: Number of the run.
+        worker: Number of the worker's life in the roster.
+    """
 
     number: int
     worker: int
 
 
 class TaskRecord(NamedTuple):
-    """A task that has started and isn't done."""
+    """A task that was started and isn't done."""
 
     position: int
     last_run: int
@@ -71,13 +80,14 @@
 
 
 class StepRecord(NamedTuple):
-    """A step of which something has started.
+    """A step of which at least one task was started.
 
     Attributes:
-        occurrence: Which occurrence.
-        step: Which step.
-        done: A bit for each task, the lowest of the first byte for task 0.
-        tasks: Those that have started and aren't done.
+        occurrence: Number of the occurrence.
+        step: Number of the step.
+        done: A bit for each task that is done, the lowest bit of the first byte
+            for task 0.
+        tasks: Tasks that were started and aren't done.
     """
 
     occurrence: int
@@ -87,7 +97,7 @@
 
 
 class ProgressRecord(NamedTuple):
-    """How far a job is."""
+    """Progress of a job."""
 
     form: int
     state: str
@@ -96,12 +106,12 @@
 
 
 class WorkerRecord(NamedTuple):
-    """A worker's life that has a number in the roster.
+    """A worker life that has a number in the roster.
 
     Attributes:
-        form: Version of the form.
-        life: The life's id.
-        machine: The machine that it is a life of.
+        form: Version of the format.
+        life: Id of the life.
+        machine: Machine that the life runs on.
     """
 
     form: int
@@ -110,14 +120,14 @@
 
 
 class BornRecord(NamedTuple):
-    """When a worker's life started, milliseconds since 1970."""
+    """Time at which a worker life started, in milliseconds since 1970."""
 
     form: int
     born: int
 
 
 class CrashRecord(NamedTuple):
-    """Crashes under one task; see `work.crash_history`."""
+    """Crashes of workers that ran a task; see `work.crash_history`."""
 
     occurrence: int
     step: int
@@ -130,20 +140,21 @@
 
 
 class CrashHistoryRecord(NamedTuple):
-    """Tasks of a job under which workers have crashed."""
+    """Crash histories of a job's tasks whose workers have crashed."""
 
     form: int
     tasks: tuple[CrashRecord, ...]
 
 
 class LateStart(NamedTuple):
-    """A start that may be carried out yet.
+    """A start that may still be carried out.
 
     Attributes:
-        task: The task.
-        run: The run's number.
-        left: For how many seconds, from the record on, or 0 while it is on
-            its way. Clocks of VMs differ, so no moment is told.
+        task: Name of the task.
+        run: Number of the run.
+        left: Seconds, counted from the write of the record, for which the start
+            may still be carried out, or 0 while its call is in flight. A
+            duration is stored because the clocks of VMs differ.
     """
 
     task: TaskName
@@ -152,20 +163,21 @@
 
 
 class LateStartsRecord(NamedTuple):
-    """Starts that may be carried out though nobody waits for the answer."""
+    """Starts that may still be carried out although no call awaits them."""
 
     form: int
     starts: tuple[LateStart, ...]
 
 
-class DoubtRow(NamedTuple):
+class SuspectRunRow(NamedTuple):
     """A run that may have crashed its worker; see `work.crash_history.Crash`.
 
     Attributes:
-        task: The task.
-        run: The run's number.
-        lived: Seconds for which it was seen to live.
-        sure: Whether it had surely begun, and its worker was gone soon after.
+        task: Name of the task.
+        run: Number of the run.
+        lived: Seconds for which the run was seen running.
+        sure: Whether the run had certainly started and its worker ended soon
+            after.
         isolated: Whether nothing else had just started on its worker.
     """
 
@@ -176,13 +188,13 @@
     isolated: bool
 
 
-class RepeatsRecord(NamedTuple):
+class ResentStartsRecord(NamedTuple):
     """Starts that may have been sent more than once.
 
     Attributes:
-        form: Version of the form.
-        epoch: Of the owner that wrote it.
-        runs: Names of tasks and numbers of runs.
+        form: Version of the format.
+        epoch: Epoch of the owner that wrote the record.
+        runs: Names of the tasks and numbers of their runs.
     """
 
     form: int
@@ -190,14 +202,14 @@
     runs: tuple[tuple[TaskName, int], ...]
 
 
-class LivedRow(NamedTuple):
-    """A run that may crash its worker, and how long it has lived.
+class LivedRunRow(NamedTuple):
+    """Lifetime of a run that may crash its worker.
 
     Attributes:
-        task: The task.
-        run: The run's number.
+        task: Name of the task.
+        run: Number of the run.
         worker: Number of the worker's life in the roster.
-        lived: Seconds for which it was seen to live there.
+        lived: Seconds for which the run was seen running there.
     """
 
     task: TaskName
@@ -206,20 +218,21 @@
     lived: float
 
 
-class LivedRecord(NamedTuple):
-    """Runs that may crash their workers, and how long they have lived."""
+class LivedRunsRecord(NamedTuple):
+    """Lifetimes of the runs that may crash their workers."""
 
     form: int
-    rows: tuple[LivedRow, ...]
+    rows: tuple[LivedRunRow, ...]
 
 
-class EndRow(NamedTuple):
-    """An end of a worker.
+class WorkerEndRow(NamedTuple):
+    """The end of a worker.
 
     Attributes:
-        at: When it went, seconds since 1970.
-        rack: The worker's.
-        explained: Whether something had just started on it.
+        at: Time of the end, in seconds since 1970.
+        rack: Rack of the worker.
+        explained: Whether a run had just started on the worker, which may have
+            crashed it.
     """
 
     at: float
@@ -227,39 +240,41 @@
     explained: bool
 
 
-class EndsRecord(NamedTuple):
-    """Workers that have ended of late."""
+class WorkerEndsRecord(NamedTuple):
+    """Workers that ended recently."""
 
     form: int
-    rows: tuple[EndRow, ...]
+    rows: tuple[WorkerEndRow, ...]
 
 
-class DoubtRecord(NamedTuple):
-    """A worker life that fell silent, and what may have crashed it.
+class SilentLifeRecord(NamedTuple):
+    """A worker life that fell silent, and the runs that may have crashed it.
 
     Attributes:
-        form: Version of the form.
-        life: The life's id.
-        machine: The machine that it is a life of.
-        born: When it started, milliseconds since 1970, or 0.
-        rows: Runs there.
+        form: Version of the format.
+        life: Id of the life.
+        machine: Machine that the life runs on.
+        born: Time at which the life started, in milliseconds since 1970, or 0
+            if unknown.
+        rows: Runs on the worker that may have crashed it.
     """
 
     form: int
     life: str
     machine: str
     born: int
-    rows: tuple[DoubtRow, ...]
+    rows: tuple[SuspectRunRow, ...]
 
 
 class LeaseRow(NamedTuple):
-    """A worker life on which leases of former owners may last.
+    """A worker life on which leases of former owners may still be in force.
 
     Attributes:
-        number: Its number in the roster.
-        left: For how many seconds at most, from the record on.
-        barred: Whether the owner that wrote it lets nothing run there before
-            another record is stored that doesn't say so.
+        number: Number of the life in the roster.
+        left: Most seconds, counted from the write of the record, for which the
+            leases may be in force.
+        barred: Whether the owner that wrote the record starts nothing on this
+            life until it has stored a record without this mark.
     """
 
     number: int
@@ -268,13 +283,16 @@
 
 
 class LeasesRecord(NamedTuple):
-    """Where leases may last that an owner's own calls don't tell of.
+    """Leases of former owners that may still be in force.
+
+    An owner doesn't learn of these leases from its own calls to the workers.
 
     Attributes:
-        form: Version of the form.
-        epoch: Of the owner that wrote it.
-        rows: Those lives. On any other only this owner has granted leases.
-        formers: Epochs of the former owners whose leases may last there; empty
+        form: Version of the format.
+        epoch: Epoch of the owner that wrote the record.
+        rows: Worker lives with such leases. On all other lives only this owner
+            has granted leases.
+        formers: Epochs of the former owners whose leases may be in force; empty
             if they aren't known.
     """
 
@@ -285,13 +303,13 @@
 
 
 class LearnedRecord(NamedTuple):
-    """What an owner has learned, so that its successor needn't anew.
+    """Estimates of an owner, stored for its successor.
 
     Attributes:
-        form: Version of the form.
-        pairs: Rows of a serving and a filling image, mean and variance; see
-            `placement.disturbance`.
-        durations: Mean logarithms of durations by queue.
+        form: Version of the format.
+        pairs: Rows of a serving image, a best-effort image, and the mean and
+            variance of the disturbance; see `placement.disturbance`.
+        durations: Means of the logarithms of task durations by queue.
     """
 
     form: int
@@ -303,41 +321,41 @@
     pairs: Sequence[tuple[str, str, float, float]],
     durations: dict[str, float],
 ) -> bytes:
-    """Returns the record of what was learned."""
-    return _encode(LearnedRecord(FORM, tuple(pairs), durations))
+    """Returns the record of an owner's estimates."""
+    return _encode(LearnedRecord(FORMAT_VERSION, tuple(pairs), durations))
 
 
 def decode_learned(value: bytes) -> LearnedRecord:
-    """Reads the record of what was learned.
+    """Returns the estimates of an encoded record.
 
     Raises:
-        RecordError: It is of another form.
+        RecordError: The record has another format.
     """
     return _decode(value, LearnedRecord)
 
 
 def encode_submission(job: Job) -> bytes:
-    """Returns a job's first record."""
+    """Returns the submission record of a job."""
     return encode_accepted(job.queue, job.spec, job.accepted_at)
 
 
 def encode_accepted(queue: Queue, spec: JobSpec, accepted_at: float) -> bytes:
-    """Returns the first record of a job that was accepted at a time."""
-    return _encode(SubmissionRecord(FORM, queue, spec, accepted_at))
+    """Returns the submission record of a job accepted at `accepted_at`."""
+    return _encode(SubmissionRecord(FORMAT_VERSION, queue, spec, accepted_at))
 
 
 def decode_submission(job_id: str, value: bytes) -> Job:
-    """Returns the job of a submission record.
+    """Returns the job of an encoded submission record.
 
     Raises:
-        RecordError: It is of another form.
+        RecordError: The record has another format.
     """
     record = _decode(value, SubmissionRecord)
     return Job(job_id, record.queue, record.spec, record.accepted_at)
 
 
 def encode_progress(job: Job) -> bytes:
-    """Returns a job's progress record."""
+    """Returns the progress record of a job."""
     started = [
         step
         for occurrence in job.occurrences
@@ -346,17 +364,18 @@
     ]
     if job.ended and not any(step.run_count for step in started):
         started = []
-    # In the form of a `ProgressRecord`. An end changes one step of a job, and
-    # only that is encoded anew: a wide job changes with each end of a task.
+    # The array has the format of a `ProgressRecord`. The end of a run changes
+    # one step, and only that step is encoded again: a job with many tasks
+    # changes with the end of each of them.
     steps = [_encoded_step(step) for step in started]
-    return _encode((FORM, job.state.value, job.ended_at, steps))
+    return _encode((FORMAT_VERSION, job.state.value, job.ended_at, steps))
 
 
 def decode_progress(job: Job, value: bytes) -> None:
-    """Brings a job to where a progress record says.
+    """Restores the progress of a job from an encoded record.
 
     Raises:
-        RecordError: It is of another form.
+        RecordError: The record has another format.
     """
     record = _decode(value, ProgressRecord)
     try:
@@ -370,11 +389,11 @@
             occurrence = job.occurrences[step_record.occurrence]
             _restore_step(occurrence.steps[step_record.step], step_record)
         except IndexError as error:
-            raise RecordError("progress of a step unknown") from error
+            raise RecordError("progress of an unknown step") from error
 
 
 def encode_crashes(job: Job) -> bytes | None:
-    """Returns the record of crashes under a job's tasks, None for none."""
+    """Returns the crash histories of a job's tasks, or None without any."""
     rows = tuple(
         CrashRecord(
             task.name.occurrence,
@@ -385,138 +404,144 @@
         for task in job.tasks()
         if task.crash_history.crashes
     )
-    return _encode(CrashHistoryRecord(FORM, rows)) if rows else None
+    return _encode(CrashHistoryRecord(FORMAT_VERSION, rows)) if rows else None
 
 
 def decode_crashes(job: Job, value: bytes) -> None:
-    """Restores the crashes under a job's tasks.
+    """Restores the crash histories of a job's tasks.
 
     Raises:
-        RecordError: It is of another form.
+        RecordError: The record has another format.
     """
     for row in _decode(value, CrashHistoryRecord).tasks:
         try:
             step = job.occurrences[row.occurrence].steps[row.step]
             task = step.tasks[row.position]
         except IndexError as error:
-            raise RecordError("crashes of a task unknown") from error
+            raise RecordError("crashes of an unknown task") from error
         task.crash_history = CrashHistory(
             row.crashes, row.sure, row.early, row.survived, row.run
         )
 
 
 def encode_late_starts(starts: Sequence[LateStart]) -> bytes:
-    """Returns the record of starts that may be carried out yet."""
-    return _encode(LateStartsRecord(FORM, tuple(starts)))
+    """Returns the record of starts that may still be carried out."""
+    return _encode(LateStartsRecord(FORMAT_VERSION, tuple(starts)))
 
 
 def decode_late_starts(value: bytes) -> tuple[LateStart, ...]:
-    """Reads which starts may be carried out yet.
+    """Returns the starts that may still be carried out.
 
     Raises:
-        RecordError: It is of another form.
+        RecordError: The record has another format.
     """
     return _decode(value, LateStartsRecord).starts
 
 
-def encode_doubt(
-    life: str, machine: str, born: int, rows: Sequence[DoubtRow]
+def encode_silent_life(
+    life: str, machine: str, born: int, rows: Sequence[SuspectRunRow]
 ) -> bytes:
     """Returns the record of a worker life that fell silent."""
-    return _encode(DoubtRecord(FORM, life, machine, born, tuple(rows)))
+    return _encode(
+        SilentLifeRecord(FORMAT_VERSION, life, machine, born, tuple(rows))
+    )
 
 
-def decode_doubt(value: bytes) -> DoubtRecord:
-    """Reads which worker life fell silent.
+def decode_silent_life(value: bytes) -> SilentLifeRecord:
+    """Returns the record of a worker life that fell silent.
 
     Raises:
-        RecordError: It is of another form.
+        RecordError: The record has another format.
     """
-    return _decode(value, DoubtRecord)
+    return _decode(value, SilentLifeRecord)
 
 
-def encode_repeats(epoch: int, runs: tuple[tuple[TaskName, int], ...]) -> bytes:
-    """Returns the record of starts that may have been sent again."""
-    return _encode(RepeatsRecord(FORM, epoch, runs))
+def encode_resent_starts(
+    epoch: int, runs: tuple[tuple[TaskName, int], ...]
+) -> bytes:
+    """Returns the record of starts that may have been sent repeatedly."""
+    return _encode(ResentStartsRecord(FORMAT_VERSION, epoch, runs))
 
 
-def decode_repeats(value: bytes) -> RepeatsRecord:
-    """Reads which starts may have been sent again.
+def decode_resent_starts(value: bytes) -> ResentStartsRecord:
+    """Returns the starts that may have been sent repeatedly.
 
     Raises:
-        RecordError: It is of another form.
+        RecordError: The record has another format.
     """
-    return _decode(value, RepeatsRecord)
+    return _decode(value, ResentStartsRecord)
 
 
-def encode_lived(rows: Sequence[LivedRow]) -> bytes:
-    """Returns the record of how long runs have lived."""
-    return _encode(LivedRecord(FORM, tuple(rows)))
+def encode_lived_runs(rows: Sequence[LivedRunRow]) -> bytes:
+    """Returns the record of the lifetimes of runs."""
+    return _encode(LivedRunsRecord(FORMAT_VERSION, tuple(rows)))
 
 
-def decode_lived(value: bytes) -> tuple[LivedRow, ...]:
-    """Reads how long runs have lived.
+def decode_lived_runs(value: bytes) -> tuple[LivedRunRow, ...]:
+    """Returns the lifetimes of runs.
 
     Raises:
-        RecordError: It is of another form.
+        RecordError: The record has another format.
     """
-    return _decode(value, LivedRecord).rows
+    return _decode(value, LivedRunsRecord).rows
 
 
-def encode_ends(rows: Sequence[EndRow]) -> bytes:
-    """Returns the record of workers that have ended of late."""
-    return _encode(EndsRecord(FORM, tuple(rows)))
+def encode_worker_ends(rows: Sequence[WorkerEndRow]) -> bytes:
+    """Returns the record of workers that ended recently."""
+    return _encode(WorkerEndsRecord(FORMAT_VERSION, tuple(rows)))
 
 
-def decode_ends(value: bytes) -> tuple[EndRow, ...]:
-    """Reads which workers have ended of late.
+def decode_worker_ends(value: bytes) -> tuple[WorkerEndRow, ...]:
+    """Returns the workers that ended recently.
 
     Raises:
-        RecordError: It is of another form.
+        RecordError: The record has another format.
     """
-    return _decode(value, EndsRecord).rows
+    return _decode(value, WorkerEndsRecord).rows
 
 
 def encode_leases(
     epoch: int, rows: Sequence[LeaseRow], formers: Sequence[int]
 ) -> bytes:
-    """Returns the record of leases that may last."""
-    return _encode(LeasesRecord(FORM, epoch, tuple(rows), tuple(formers)))
+    """Returns the record of former owners' leases."""
+    return _encode(
+        LeasesRecord(FORMAT_VERSION, epoch, tuple(rows), tuple(formers))
+    )
 
 
 def decode_leases(value: bytes) -> LeasesRecord:
-    """Reads where leases may last.
+    """Returns the former owners' leases of an encoded record.
 
     Raises:
-        RecordError: It is of another form.
+        RecordError: The record has another format.
     """
     return _decode(value, LeasesRecord)
 
 
 def encode_worker(life: str, machine: str) -> bytes:
-    """Returns the record of a worker's number."""
-    return _encode(WorkerRecord(FORM, life, machine))
+    """Returns the record of a worker life that has a number."""
+    return _encode(WorkerRecord(FORMAT_VERSION, life, machine))
 
 
 def encode_born(born: int) -> bytes:
-    """Returns the record of when a worker's life started."""
-    return _encode(BornRecord(FORM, born))
+    """Returns the record of the time at which a worker life started."""
+    return _encode(BornRecord(FORMAT_VERSION, born))
 
 
 def decode_born(value: bytes) -> int:
-    """Reads when a worker's life started.
+    """Returns when a worker life started, in milliseconds since 1970.
 
     Raises:
-        RecordError: It is of another form.
+        RecordError: The record has another format.
     """
     return _decode(value, BornRecord).born
 
 
 def decode_worker(value: bytes) -> WorkerRecord:
-    """Reads the record of a worker's number.
+    """Returns the worker life of an encoded record.
 
     Raises:
-        RecordError: It is of another form.
+        RecordError: The record has another format.
     """
     return _decode(value, WorkerRecord)
 
@@ -526,8 +551,8 @@
         record: _T = msgspec.msgpack.decode(value, type=cls)
     except msgspec.DecodeError as error:
         raise RecordError(f"{cls.__name__}: {error}") from error
-    if record[0] != FORM:
-        raise RecordError(f"{cls.__name__} of form {record[0]}")
+    if record[0] != FORMAT_VERSION:
+        raise RecordError(f"{cls.__name__} of format {record[0]}")
     return record
 
 
@@ -548,7 +573,11 @@
 
 
 def _tasks_record(step: Step) -> tuple[int, list[TaskRecord]]:
-    """Returns the bits of tasks that are done, and those that aren't."""
+    """Returns a bit mask of the done tasks, and records of the others.
+
+    A task that is done has a record as well while a run of it may be on a
+    worker.
+    """
     done = 0
     tasks = []
     for index, task in enumerate(step.tasks):
@@ -573,7 +602,7 @@
     for index, task in enumerate(step.tasks):
         if done >> index & 1:
             task.note_started(1)
-            task.note_begun()
+            task.note_has_run()
             task.finish()
     for saved in record.tasks:
         task = step.tasks[saved.position]
@@ -581,7 +610,7 @@
         task.failures = saved.failures
         task.checkpoint = saved.checkpoint
         if saved.failures or saved.checkpoint:
-            task.note_begun()
+            task.note_has_run()
         for run_record in saved.runs:
             run = Run(run_record.number, run_record.worker)
             run.state = RunState.UNSURE
--- a/pimentocross/work/spec.py
+++ b/pimentocross/work/spec.py
@@ -1,15 +1,15 @@
-"""What a caller asks for when it submits a job."""
+"""Specification of a job, as a caller submits it."""
 
 from typing import Final, NamedTuple
 
 
 class Size(NamedTuple):
-    """An amount of what a worker carries.
+    """An amount of a worker's resources.
 
     Attributes:
-        cpu: Thousandths of a core.
-        memory: Megabytes.
-        gpus: Accelerators.
+        cpu: Processor time in thousandths of a core.
+        memory: Memory in megabytes.
+        gpus: Number of accelerators.
     """
 
     cpu: int
@@ -33,7 +33,7 @@
         )
 
     def fits_in(self, free: "Size") -> bool:
-        """True if no part exceeds that of `free`."""
+        """True if no resource exceeds that of `free`."""
         return (
             self.cpu <= free.cpu
             and self.memory <= free.memory
@@ -45,27 +45,29 @@
 
 
 class StepSpec(NamedTuple):
-    """One step of a job: like tasks that may run beside each other.
+    """A step of a job: tasks of the same kind that may run in parallel.
 
     Attributes:
-        width: How many tasks.
-        size: What each asks for.
-        estimate: Rough seconds that a task takes, 0 if unknown.
-        after: Numbers of the steps that have to be done first.
-        saves: Whether tasks save their progress.
-        gang: Whether the tasks work only all together.
-        same_rack: Whether tasks are slower on more than one rack.
+        width: Number of tasks.
+        size: Resources that each task requests.
+        estimate: Estimated duration of a task in seconds, 0 if unknown.
+        after: Numbers of the steps that must be done before.
+        saves: Whether the tasks save checkpoints.
+        gang: Whether the tasks can only run all at the same time.
+        same_rack: Whether the tasks run slower when spread over racks.
         label: Label that the worker must have, or "".
-        rack: Rack where the data is, or "".
-        per_worker: Most tasks of the step on one worker, 0 for any.
+        rack: Rack that holds the data, or "".
+        per_worker: Maximum number of tasks of the step on one worker, 0 for no
+            limit.
         copies: Whether copies of a task may run in parallel.
-        lasting: Whether tasks run until the job is cancelled.
-        image: What the tasks run, or "".
-        target_tail: Milliseconds that the tail of a serving task's response
-            times must stay under, 0 if it serves nobody.
-        fills: Whether the tasks take only what processor time is left over.
-        away_most: Tasks of a lasting step that may be away by our doing, or
-            None if that is not bounded.
+        lasting: Whether the tasks run until the job is cancelled.
+        image: Image that the tasks run, or "".
+        target_tail: Milliseconds below which the tail of a serving task's
+            response times must stay, 0 for a task that serves no requests.
+        fills: Whether the tasks are best-effort and only use processor time
+            that other tasks leave.
+        away_most: Maximum number of tasks of a lasting step that may be absent
+            because of the scheduler's own decisions, or None for no limit.
     """
 
     width: int
@@ -87,19 +89,20 @@
 
     @property
     def committed(self) -> Size:
-        """What a task takes of a worker's capacity."""
+        """Resources that a task reserves on its worker."""
         return self.size._replace(cpu=0) if self.fills else self.size
 
 
 class JobSpec(NamedTuple):
-    """One submission.
+    """A submitted job.
 
     Attributes:
-        payload: Text that every task is started with.
-        steps: Its steps, by number.
-        repeats: How often the steps run; 0 for once, at once.
-        first_due: When the first of several runs is due, seconds since 1970.
-        interval: Seconds between one and the next.
+        payload: Text that is passed to every task at its start.
+        steps: Steps of the job, by number.
+        repeats: Number of occurrences, each of which runs all steps; 0 for one
+            that starts immediately.
+        first_due: Due time of the first occurrence, in seconds since 1970.
+        interval: Seconds between the due times of two occurrences.
     """
 
     payload: str
@@ -109,56 +112,58 @@
     interval: float = 0.0
 
 
-# Tasks of one job over all occurrences, each of which takes about 400 bytes of
-# the owner's memory.
-TASKS_MOST: Final = 100_000
+# Counts the tasks of all occurrences. Each takes about 400 bytes of the owner's
+# memory.
+MAX_TASKS_PER_JOB: Final = 100_000
 
 
 class SpecError(Exception):
-    """A submission that can't be meant.
+    """A submission is invalid.
 
     Attributes:
-        findings: What is wrong, each with its place.
+        findings: Descriptions of the errors, each with the path of its field.
     """
 
     def __init__(self, findings: list[str]) -> None:
-        """Takes the findings."""
+        """Initializes the error with at least one finding."""
         super().__init__("; ".join(findings))
         self.findings = findings
 
 
 def check_spec(spec: JobSpec) -> None:
-    """Checks what the types don't.
+    """Validates the values that the types don't constrain.
 
     Raises:
-        SpecError: With all findings.
+        SpecError: The specification is invalid; the error has all findings.
     """
     findings = []
-    whole = sum(step.width for step in spec.steps) * max(spec.repeats, 1)
-    if whole > TASKS_MOST:
-        findings.append(f"{whole} tasks in all, at most {TASKS_MOST}")
+    task_count = sum(step.width for step in spec.steps) * max(spec.repeats, 1)
+    if task_count > MAX_TASKS_PER_JOB:
+        findings.append(
+            f"{task_count} tasks in all, at most {MAX_TASKS_PER_JOB}"
+        )
     if not spec.steps:
         findings.append("steps: none")
     for number, step in enumerate(spec.steps):
-        place = f"steps[{number}]"
+        path = f"steps[{number}]"
         if step.width < 1:
-            findings.append(f"{place}.width: {step.width}, at least 1")
+            findings.append(f"{path}.width: {step.width}, at least 1")
         if min(step.size) < 0:
-            findings.append(f"{place}.size: below 0")
-        if any(not 0 <= before < number for before in step.after):
-            findings.append(f"{place}.after: not an earlier step")
+            findings.append(f"{path}.size: below 0")
+        if any(not 0 <= dependency < number for dependency in step.after):
+            findings.append(f"{path}.after: not an earlier step")
     if findings:
         raise SpecError(findings)
 
 
 class TaskName(NamedTuple):
-    """Names one task.
+    """Unique name of a task.
 
     Attributes:
-        job: The job's id.
-        occurrence: Which of the job's repeated runs, from 0.
-        step: The step's number.
-        position: The task's number within the step.
+        job: Id of the job.
+        occurrence: Number of the occurrence, from 0.
+        step: Number of the step within the job.
+        position: Number of the task within the step.
     """
 
     job: str
--- a/pimentocross/work/state.py
+++ b/pimentocross/work/state.py
@@ -1,4 +1,4 @@
-"""Where each task of a job stands, as its owner knows it."""
+"""State of jobs, steps, tasks and runs in the memory of the cell's owner."""
 
 from collections.abc import Iterator
 from enum import IntEnum, StrEnum
@@ -10,7 +10,7 @@
 
 
 class JobState(StrEnum):
-    """What a caller is told of a job."""
+    """State of a job as reported to callers."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -23,10 +23,10 @@
 
 
 class RunState(IntEnum):
-    """How far a run is.
+    """State of a run.
 
-    `UNSURE`: its start was not answered; it may run, or begin later.
-    `HELD`: the same, and it is on no worker for now.
+    `UNSURE`: no reply to its start came; it may be running or start later.
+    `HELD`: like `UNSURE`, but it isn't on any worker at the moment.
     """
 
     DECIDED = 0
@@ -38,32 +38,33 @@
 
 
 class Run:
-    """One run of a task on a worker.
+    """One run of a task on a worker; times are on the monotonic clock.
 
     Attributes:
-        number: Rises with each start of the task.
+        number: Number of the run, which grows with each start of the task.
         worker: Number of the worker's life in the owner's roster.
-        state: How far it is.
-        decided_at: When the owner decided on it, monotonic; 0 if a former
-            owner did.
-        state_at: When it came to that, monotonic.
-        began_at: When it was first listed as running, monotonic, or 0.
-        percent: Progress as last listed; a serving task works at 100.
-        percent_at: When the progress last changed, monotonic.
-        figure: Tail of response times in ms, or processor time in use.
-        pace: Percent at which it is let work.
-        paced_at: When that was last changed, monotonic.
-        stopped_at: When the worker confirmed that it stops it, or 0.
-        starts_sent: How often its start was sent.
-        lived_before: Seconds for which former owners saw it live.
-        late_until: Until when a start of it that wasn't answered may be carried
-            out by a life that has its worker's id, monotonic, or 0.
+        state: State of the run.
+        decided_at: When the owner decided to start the run; 0 if a former owner
+            did.
+        state_at: When the run entered its state.
+        began_at: When the run was first listed as running, or 0.
+        percent: Progress as last listed; 100 for a serving task that works.
+        percent_at: When the progress last changed.
+        figure: Tail of the response times in ms of a serving task, else the
+            processor time in use, in thousandths of a core.
+        pace: Speed limit of the run in percent.
+        paced_at: When the speed limit was last changed.
+        stopped_at: When the worker confirmed that it is stopping the run, or 0.
+        starts_sent: How often the start was sent.
+        lived_before: Seconds for which former owners saw the run running.
+        late_until: Until when an unanswered start of the run may still be
+            carried out by a life with the id of its worker, or 0.
     """
 
     def __init__(
         self, number: int, worker: int, decided_at: float = 0.0
     ) -> None:
-        """Notes a decision that is not yet sent."""
+        """Initializes a run whose start hasn't been sent yet."""
         self.number = number
         self.worker = worker
         self.state = RunState.DECIDED
@@ -82,36 +83,37 @@
 
     @property
     def is_adopted(self) -> bool:
-        """True if a former owner had decided on it."""
+        """True if a former owner decided to start the run."""
         return not self.decided_at
 
     def enter(self, state: RunState, now: float) -> None:
-        """Notes how far it is now."""
+        """Sets the state and the time at which the run entered it."""
         self.state = state
         self.state_at = now
 
-    def may_come_late(self, now: float) -> bool:
-        """True if a start of it may be carried out yet.
+    def may_start_late(self, now: float) -> bool:
+        """True if a start of the run may still be carried out.
 
-        Once it ends, its task starts nowhere before that can't be any more.
+        As long as it may, the task isn't started again after the run has ended.
         """
         return self.late_until > now
 
     def note_start_settled(self) -> None:
         """Notes that a start was carried out or refused.
 
-        If it was sent more often, the others may be carried out yet.
+        If the start was sent repeatedly, another of these calls may still be
+        carried out.
         """
         if self.starts_sent <= 1:
             self.late_until = 0.0
 
 
 class Destination(NamedTuple):
-    """The worker that a task is moved to, and until when that is waited for.
+    """The worker that a task is being moved to.
 
     Attributes:
         worker: Number of the worker's life in the owner's roster.
-        until: Monotonic.
+        until: Time at which the move is given up, on the monotonic clock.
     """
 
     worker: int
@@ -119,22 +121,22 @@
 
 
 class Task:
-    """One task.
+    """A task of a step.
 
     Attributes:
-        name: Its name.
-        step: The step that it is part of.
-        done: Whether a run of it ended well.
+        name: Name of the task.
+        step: The step that the task is part of.
+        done: Whether a run of the task succeeded.
         last_run: Number of the newest run, 0 before the first.
         runs: Runs that may be on a worker, by number.
         failed_on: Numbers of worker lives on which runs failed.
-        not_before: Not started again before this time, monotonic.
-        bound_for: Where it is being moved to, or None.
-        crash_history: Crashes of workers under it.
+        not_before: Earliest time of the next start, on the monotonic clock.
+        destination: Worker that the task is being moved to, or None.
+        crash_history: Crashes of workers that ran the task.
     """
 
     def __init__(self, name: TaskName, step: "Step") -> None:
-        """Makes a task that was never started."""
+        """Initializes a task that was never started."""
         self.name = name
         self.step = step
         self.done = False
@@ -144,12 +146,12 @@
         self.runs: dict[int, Run] = {}
         self.failed_on: set[int] = set()
         self.not_before = 0.0
-        self.bound_for: Destination | None = None
+        self.destination: Destination | None = None
         self.crash_history: CrashHistory = NO_CRASHES
 
     @property
     def failures(self) -> int:
-        """Runs that ended as failed."""
+        """Number of runs that failed."""
         return self._failures
 
     @failures.setter
@@ -160,7 +162,7 @@
 
     @property
     def checkpoint(self) -> str:
-        """Newest saved progress, or ""."""
+        """Newest checkpoint, or ""."""
         return self._checkpoint
 
     @checkpoint.setter
@@ -171,11 +173,11 @@
 
     @property
     def waiting(self) -> bool:
-        """True if it is not done and no run of it may be anywhere."""
+        """True if the task isn't done and no run of it may be on a worker."""
         return not self.done and not self.runs
 
     def add_run(self, run: Run) -> None:
-        """Notes a run that may be on a worker."""
+        """Adds a run that may be on a worker."""
         if self.waiting:
             self.step.waiting_count -= 1
         if run.number not in self.runs:
@@ -184,18 +186,18 @@
         self.note_started(run.number)
 
     def note_started(self, number: int) -> None:
-        """Notes that a run was decided on."""
+        """Notes that the owner decided to start a run."""
         self.last_run = max(self.last_run, number)
         self.step.record = None
         self.step.started = True
         self.step.job.started = True
 
-    def note_begun(self) -> None:
-        """Notes that a run of it was carried out."""
-        self.step.job.begun = True
+    def note_has_run(self) -> None:
+        """Notes that a run of the task was carried out."""
+        self.step.job.has_run = True
 
     def drop_run(self, number: int) -> Run | None:
-        """Forgets a run that surely is on no worker any more."""
+        """Removes a run that certainly isn't on a worker any more."""
         run = self.runs.pop(number, None)
         if run is not None:
             self.step.record = None
@@ -205,7 +207,7 @@
         return run
 
     def finish(self) -> None:
-        """Notes that a run of it ended well."""
+        """Marks the task as done after a run succeeded."""
         if self.done:
             return
         if self.waiting:
@@ -218,26 +220,26 @@
 
 
 class Step:
-    """One step of one occurrence.
+    """A step of an occurrence.
 
     Attributes:
         job: The job.
-        occurrence: The occurrence that it is part of.
-        number: Its number within the job.
-        spec: What was asked for.
-        tasks: Its tasks, by index.
-        undone: How many are not done.
-        waiting_count: How many wait for a start.
-        run_count: Runs of them that may be on a worker.
-        started: Whether a run of any was ever decided on.
-        failed: Whether a run of any ever failed.
-        record: How it was last encoded, or None if a task has changed.
+        occurrence: The occurrence that the step is part of.
+        number: Number of the step within the job.
+        spec: Specification of the step.
+        tasks: Tasks of the step, by index.
+        undone: Number of tasks that aren't done.
+        waiting_count: Number of tasks that wait for a start.
+        run_count: Number of runs of the tasks that may be on a worker.
+        started: Whether the owner ever decided to start a run of a task.
+        failed: Whether a run of a task ever failed.
+        record: Encoded record of the step, or None if a task has changed since.
     """
 
     def __init__(
         self, job: "Job", occurrence: "Occurrence", number: int, spec: StepSpec
     ) -> None:
-        """Makes a step of which nothing has started."""
+        """Initializes a step whose tasks were never started."""
         self.job = job
         self.occurrence = occurrence
         self.number = number
@@ -254,13 +256,15 @@
         ]
 
     @property
-    def turn(self) -> bool:
-        """True once all steps that it comes after are done."""
+    def dependencies_done(self) -> bool:
+        """True once all steps that this one depends on are done."""
         steps = self.occurrence.steps
-        return all(steps[before].undone == 0 for before in self.spec.after)
+        return all(
+            steps[dependency].undone == 0 for dependency in self.spec.after
+        )
 
     def waiting(self) -> Iterator[Task]:
-        """Yields the tasks that wait for a start."""
+        """Yields the tasks that wait for a start, by index."""
         if self.waiting_count:
             for task in self.tasks:
                 if task.waiting:
@@ -268,15 +272,15 @@
 
 
 class Occurrence:
-    """One pass through a job's steps.
+    """One pass through the steps of a job.
 
     Attributes:
-        number: From 0.
-        due: Seconds since 1970 before which nothing starts.
+        number: Number of the occurrence, from 0.
+        due: Earliest time of a start, in seconds since 1970.
     """
 
     def __init__(self, job: "Job", number: int, due: float) -> None:
-        """Makes an occurrence of which nothing has started."""
+        """Initializes an occurrence whose tasks were never started."""
         self.number = number
         self.due = due
         self.steps: list[Step] = []
@@ -285,26 +289,26 @@
 
 
 class Job:
-    """One job.
+    """An accepted job.
 
     Attributes:
-        id: Chosen by the caller.
-        queue: Its queue, as of the newest configuration that had it.
-        spec: What was asked for.
-        accepted_at: Seconds since 1970.
+        id: Id that the caller has chosen.
+        queue: Queue of the job, as in the newest configuration that had it.
+        spec: Specification of the job.
+        accepted_at: When the job was accepted, in seconds since 1970.
         occurrences: Passes through the steps, by number.
-        state: Where it stands.
-        recorded_state: The state that its newest stored record has.
-        ended_at: When it came to a final state, seconds since 1970.
-        started: Whether any task of it was ever decided on.
-        begun: Whether any task of it surely ran, as far as is known.
-        given_up: Whether a task of it crashes the workers that start it.
+        state: State of the job.
+        recorded_state: State in the newest stored record.
+        ended_at: When the job reached a final state, in seconds since 1970.
+        started: Whether the owner ever decided to start a run of a task.
+        has_run: Whether a run of a task is known to have been carried out.
+        given_up: Whether a task was given up because it crashes its workers.
     """
 
     def __init__(
         self, job_id: str, queue: Queue, spec: JobSpec, accepted_at: float
     ) -> None:
-        """Makes a job of which nothing has started."""
+        """Initializes a job whose tasks were never started."""
         self.id = job_id
         self.queue = queue
         self.spec = spec
@@ -317,10 +321,10 @@
             for number, due in enumerate(_due_times(spec, accepted_at))
         ]
         self.started = False
-        self.begun = False
+        self.has_run = False
         self.given_up = False
-        # Counted, as each end of a run asks: looking at all tasks would take
-        # the longer the wider a job is.
+        # Counted rather than recomputed: it is read at each end of a run, and a
+        # scan would take time proportional to the number of tasks.
         self._steps_left = sum(
             step.undone > 0
             for occurrence in self.occurrences
@@ -329,17 +333,17 @@
         self._steps_done: list[Step] = []
 
     @property
-    def timed(self) -> bool:
-        """True if its occurrences have times of their own."""
+    def has_due_times(self) -> bool:
+        """True if the occurrences have due times."""
         return self.spec.repeats > 0
 
     @property
     def ended(self) -> bool:
-        """True once it is in a final state."""
+        """True once the job is in a final state."""
         return self.state in TERMINAL
 
     def tasks(self) -> Iterator[Task]:
-        """Yields all its tasks."""
+        """Yields all tasks of all occurrences."""
         for occurrence in self.occurrences:
             for step in occurrence.steps:
                 yield from step.tasks
@@ -349,16 +353,16 @@
         self._steps_left -= 1
         self._steps_done.append(step)
 
-    def take_steps_done(self) -> list[Step]:
-        """Returns the steps that were done since this was last asked."""
-        taken, self._steps_done = self._steps_done, []
-        return taken
+    def pop_completed_steps(self) -> list[Step]:
+        """Returns the steps completed since the last call."""
+        completed, self._steps_done = self._steps_done, []
+        return completed
 
     def advance(self, now: float) -> None:
-        """Moves to running or to a final state, as its tasks say.
+        """Updates the state of the job from that of its tasks.
 
         Args:
-            now: Seconds since 1970.
+            now: Current time in seconds since 1970.
         """
         if self.ended:
             return
@@ -370,14 +374,14 @@
             self.state = JobState.RUNNING
 
     def cancel(self, now: float) -> None:
-        """Ends as cancelled, unless it has ended."""
+        """Ends the job as cancelled, unless it has ended already."""
         if not self.ended:
             self._end(JobState.CANCELLED, now)
 
-    def take_apart(self) -> None:
-        """Drops its tasks, so that it is freed without a look for cycles.
+    def drop_tasks(self) -> None:
+        """Drops the tasks, so that the garbage collector needn't free cycles.
 
-        It has been forgotten, and nothing asks it for its tasks any more.
+        The job has been forgotten, and nothing reads its tasks any more.
         """
         for occurrence in self.occurrences:
             for step in occurrence.steps:
@@ -402,7 +406,7 @@
 
 
 def _failures(step: Step) -> int:
-    """Returns the most failures of one task, or those of a gang together."""
+    """Returns the most failures of an undone task, or the sum for a gang."""
     failures = [task.failures for task in step.tasks if not task.done]
     if step.spec.gang:
         return sum(failures)
--- a/pimentocross/zones/cell_roster.py
+++ b/pimentocross/zones/cell_roster.py
@@ -41,7 +41,7 @@
 
     def unmet(self) -> list[str]:
         """Returns the workers that have never answered."""
-        return [w.name for w in self.workers.values() if not w.ever_met]
+        return [w.name for w in self.workers.values() if not w.ever_synced]
 
     async def follow(self) -> None:
         """Follows the VM list for ever."""
--- a/pimentocross/zones/placer.py
+++ b/pimentocross/zones/placer.py
@@ -171,7 +171,7 @@
 
 
 def _usable(workers: Iterable[Worker]) -> list[Worker]:
-    return [w for w in workers if w.met and not w.leaving]
+    return [w for w in workers if w.is_synced and not w.leaving]
 
 
 def _wanted(task: WantedTask) -> PlacementRequest:
--- a/pimentocross/zones/views.py
+++ b/pimentocross/zones/views.py
@@ -74,7 +74,9 @@
     """Returns how full a cell is."""
     pending = sum(t.phase is TaskPhase.PENDING for t in tasks.values())
     free = sum(
-        max(w.commitments.free.slots, 0) for w in workers.values() if w.met
+        max(w.commitments.free.slots, 0)
+        for w in workers.values()
+        if w.is_synced
     )
     return CellLoad(pending, len(tasks) - pending, free)
 
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -30,9 +30,9 @@
 )
 from pimentocross.standins.worker_hall import WorkerHall
 from pimentocross.work.crash_history import (
-    CLEARED_AFTER,
+    CRASHES_CLEARED_AFTER,
     NO_CRASHES,
-    PROVEN_AFTER,
+    STARTUP_CRASH_WINDOW,
     Crash,
     CrashHistory,
     is_outage,
@@ -400,19 +400,21 @@
     once = NO_CRASHES.after(_crash(1))
     twice = once.after(_crash(2))
     for lasting in (False, True):
-        assert once.patience(lasting=lasting) < 6.0
+        assert once.max_isolation_wait(lasting=lasting) < 6.0
     # When many workers crash at once, all idle ones are reserved for others.
-    assert twice.patience(lasting=False) > 6.0
+    assert twice.max_isolation_wait(lasting=False) > 6.0
     # Users count a lasting task as lost after being down for that long.
-    assert twice.patience(lasting=True) < 6.0
+    assert twice.max_isolation_wait(lasting=True) < 6.0
     # Its last run lived past its start.
-    lived = twice.after(_crash(3)._replace(lived=PROVEN_AFTER))
-    assert lived.patience(lasting=False) < 6.0
+    lived = twice.after(_crash(3)._replace(lived=STARTUP_CRASH_WINDOW))
+    assert lived.max_isolation_wait(lasting=False) < 6.0
 
 
 def test_a_run_that_only_seems_to_have_lived_explains_no_crash_loop() -> None:
     # A new owner infers the lifetime of a run, and the task was started again.
-    history = CrashHistory(crashes=5, early=2, survived=PROVEN_AFTER, run=5)
+    history = CrashHistory(
+        crashes=5, early=2, survived=STARTUP_CRASH_WINDOW, run=5
+    )
     crash = Crash(5, lived=0.0, sure=False, isolated=True, hazard=0.5)
     assert history.gives_up(crash, lasting=False)
 
@@ -443,8 +445,8 @@
 def test_a_run_that_lived_clears_its_task() -> None:
     twice = NO_CRASHES.after(_crash(1)).after(_crash(2))
     assert not twice.after_isolation().needs_isolation
-    assert not twice.after(_crash(3)._replace(lived=PROVEN_AFTER)).early
-    settled = twice.after(_crash(3)._replace(lived=CLEARED_AFTER))
+    assert not twice.after(_crash(3)._replace(lived=STARTUP_CRASH_WINDOW)).early
+    settled = twice.after(_crash(3)._replace(lived=CRASHES_CLEARED_AFTER))
     assert settled.crashes == 1 and not settled.needs_isolation
     lived = _crash(3)._replace(lived=4.0)
     assert twice.after(lived).crashes == 3
--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -19,13 +19,13 @@
 from pimentocross.standins.supervisor import DownTime, Supervisor
 from pimentocross.standins.task_worker import LASTS, NEVER, TaskPlan
 from pimentocross.standins.worker_hall import WorkerHall
-from pimentocross.work.crash_history import OUTAGE_SPAN, CrashHistory
+from pimentocross.work.crash_history import OUTAGE_WINDOW, CrashHistory
 from pimentocross.work.records import (
     CRASHES,
-    DOUBTS,
-    ENDS,
+    SILENT_LIVES,
+    WORKER_ENDS,
     decode_crashes,
-    decode_ends,
+    decode_worker_ends,
 )
 from pimentocross.work.spec import StepSpec, TaskName
 from pimentocross.work.state import JobState, Run, RunState
@@ -127,19 +127,19 @@
             await wait_until(lambda: count(hall.journal, "start") == 1)
             hall.cut["a"].add(hall.journal[0].worker)
             await trio.sleep(2.0)
-            assert len(await _values(store, DOUBTS)) == 1
+            assert len(await _values(store, SILENT_LIVES)) == 1
             hall.cut["a"].clear()
             await trio.sleep(1.0)
-            assert not await _values(store, DOUBTS)
+            assert not await _values(store, SILENT_LIVES)
             # The next owner reaches a worker that this one can't reach.
             await owner.desk.submit("more", QUEUE, chain(1, 1))
             await wait_until(lambda: count(hall.journal, "start") == 2)
             hall.cut["a"].add(hall.journal[-1].worker)
             await trio.sleep(2.0)
-            assert len(await _values(store, DOUBTS)) == 1
+            assert len(await _values(store, SILENT_LIVES)) == 1
         async with running(make_owner(store, hall, 2, vm="b")):
             await trio.sleep(1.0)
-            assert not await _values(store, DOUBTS)
+            assert not await _values(store, SILENT_LIVES)
 
 
 async def test_what_never_comes_back_is_forgotten() -> None:
@@ -148,10 +148,10 @@
             await owner.desk.submit(_JOB, QUEUE, chain(1, 1))
             await wait_until(lambda: count(hall.journal, "crashed") == 1)
             await trio.sleep(1.0)
-            assert await _values(store, DOUBTS)
+            assert await _values(store, SILENT_LIVES)
             await owner.desk.cancel(_JOB)
             await trio.sleep(40.0)
-            assert not await _values(store, DOUBTS)
+            assert not await _values(store, SILENT_LIVES)
 
 
 async def test_only_what_was_seen_is_recorded_of_a_silent_worker() -> None:
@@ -207,11 +207,11 @@
                 worker.crash()
                 worker.down = True
                 await trio.sleep(3.0)
-        (value,) = await _values(store, ENDS)
-        ends = decode_ends(value)
+        (value,) = await _values(store, WORKER_ENDS)
+        ends = decode_worker_ends(value)
         assert [end.explained for end in ends] == [False, False]
         at = ends[0].at
-        with mock.patch.object(wall, "now", lambda: at + OUTAGE_SPAN - 1.0):
+        with mock.patch.object(wall, "now", lambda: at + OUTAGE_WINDOW - 1.0):
             restored = WorkerEnds(mock.Mock())
             restored.restore(value)
         assert len(restored.recent()) == 2
--- a/tests/test_field.py
+++ b/tests/test_field.py
@@ -151,7 +151,7 @@
                     task.failed_on.update(draw.choices(numbers, k=2))
                 if draw.random() < 0.05:
                     until = trio.current_time() + 0.4
-                    task.bound_for = Destination(draw.choice(numbers), until)
+                    task.destination = Destination(draw.choice(numbers), until)
 
     def advance(self) -> None:
         """Carries out ordered starts and stops, and ends some runs."""
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -295,7 +295,7 @@
         [PairEstimate("a", "x", 8.0, 0.1), PairEstimate("b", "y", 8.0, 0.1)],
         0.0,
     )
-    record = Record(records.LEARNED, learned.encode())
+    record = Record(records.LEARNED_ESTIMATES, learned.encode())
     await store.client("a").append("jobs", [record], 1.0)
     with mock.patch.object(wall, "now", trio.current_time):
         async with running(make_owner(store, hall, 1)) as owner:
--- a/tests/test_lived_runs.py
+++ b/tests/test_lived_runs.py
@@ -9,7 +9,7 @@
 from pimentocross.standins.task_worker import LASTS, TaskPlan
 from pimentocross.work import records
 from pimentocross.work.crash_history import CrashHistory
-from pimentocross.work.records import LivedRow
+from pimentocross.work.records import LivedRunRow
 from pimentocross.work.spec import StepSpec, TaskName
 from pimentocross.work.state import Run, RunState, Step
 from tests.owner_fixtures import (
@@ -36,8 +36,8 @@
     """Returns a former owner's record of the first run of a step's task."""
     ledger = Ledger(StoreStandin().client("a"), "jobs", "owner", 1)
     lived_runs = LivedRuns(ledger, list)
-    row = LivedRow(step.tasks[0].name, 1, worker, _LIVED_SECONDS)
-    lived_runs.restore(records.encode_lived([row]))
+    row = LivedRunRow(step.tasks[0].name, 1, worker, _LIVED_SECONDS)
+    lived_runs.restore(records.encode_lived_runs([row]))
     return lived_runs
 
 
@@ -84,4 +84,4 @@
         await wait_until(lambda: count(hall.journal, "start") == 2)
         await trio.sleep(1.5)
         page = await store.client("a").newest("jobs", 1.0)
-    assert not [r for r in page.records if r.key == records.LIVED]
+    assert not [r for r in page.records if r.key == records.LIVED_RUNS]
--- a/tests/test_new_workers.py
+++ b/tests/test_new_workers.py
@@ -72,7 +72,7 @@
     """Runs the load; returns when the new workers were added."""
     store, learned = StoreStandin(), Learned()
     learned.disturbance.restore([PairEstimate("serves", "x", 0.0, 0.01)], 0.0)
-    record = Record(records.LEARNED, learned.encode())
+    record = Record(records.LEARNED_ESTIMATES, learned.encode())
     await store.client("a").append("jobs", [record], 1.0)
     with mock.patch.object(wall, "now", trio.current_time):
         async with (
--- a/tests/test_reclaim.py
+++ b/tests/test_reclaim.py
@@ -199,7 +199,7 @@
     learned = Learned()
     pair = PairEstimate("serving", "shut-out", 9.0, 0.1)
     learned.disturbance.restore([pair], 0.0)
-    record = Record(records.LEARNED, learned.encode())
+    record = Record(records.LEARNED_ESTIMATES, learned.encode())
     await store.client("a").append("jobs", [record], 1.0)
     config = CONFIG._replace(queues=(QUEUE, _BATCH))
     with mock.patch.object(wall, "now", trio.current_time):
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -41,7 +41,7 @@
         ledger = Ledger(StoreStandin().client("a"), "jobs", "owner", 4)
         resent_starts = ResentStarts(4, former, ledger)
         assert not resent_starts.was_sent_at_most_once(task, Run(1, 0))
-        resent_starts.restore(records.encode_repeats(recorded, runs))
+        resent_starts.restore(records.encode_resent_starts(recorded, runs))
         assert resent_starts.was_sent_at_most_once(task, Run(1, 0)) is expected
 
 
@@ -63,7 +63,7 @@
         await wait_until(lambda: count(hall.journal, "start") == 1)
         page = await store.client("a").newest("jobs", 1.0)
     assert not before
-    (value,) = [r.value for r in page.records if r.key == records.REPEATS]
+    (value,) = [r.value for r in page.records if r.key == records.RESENT_STARTS]
     assert value is not None
-    assert [run for _, run in records.decode_repeats(value).runs] == [1]
+    assert [run for _, run in records.decode_resent_starts(value).runs] == [1]
     assert not find_twice(hall.journal)
--- a/tests/test_wire_cost.py
+++ b/tests/test_wire_cost.py
@@ -1,11 +1,11 @@
-"""What an owner's input and output cost, in calls of functions.
-
-With 246 workers that had 25 runs each and 400 starts and ends a second, the
-owner's VM was at all of its processor time. Besides decisions, each run cost it
-2.4 ms: 0.3 ms for each call over HTTP, up to 0.5 ms to decode and take in a
-listing of 30 runs of which nothing had changed, and more to learn from it; an
-end cost as much as its job was large, up to 4 ms. Counted are the functions
-that are called, since seconds depend on the machine and on what else it does.
+"""Bounds the cost of an owner's input and output in function calls.
+
+Guards against an overloaded owner. With 246 workers of 25 runs each and 400
+starts and ends per second, the owner's VM used all of its processor time.
+Without decisions, each run cost 2.4 ms: 0.3 ms for each HTTP call, up to 0.5 ms
+to decode and process a listing of 30 unchanged runs, and more to learn from it.
+The end of a run took time in proportion to the size of its job, up to 4 ms. The
+tests count function calls because times depend on the machine and its load.
 """
 
 from collections.abc import Iterator
@@ -44,8 +44,8 @@
 _BODY = b'{"clock_ms":1000000,"running":[],"completions":[]}'
 
 
-class _Count:
-    """Calls of functions, those of the language's own included."""
+class _CallCounter:
+    """Counts calls of functions, including built-in ones."""
 
     def __init__(self) -> None:
         self.calls = 0
@@ -56,8 +56,8 @@
 
 
 @contextmanager
-def _counting() -> Iterator[_Count]:
-    count = _Count()
+def _counting() -> Iterator[_CallCounter]:
+    count = _CallCounter()
     sys.setprofile(count.note)
     try:
         yield count
@@ -65,41 +65,41 @@
         sys.setprofile(None)
 
 
-class _Stream:
-    """Takes whatever is sent and gives one answer, in one piece."""
+class _FixedReplyStream:
+    """A stream that accepts all data and returns one reply in one piece."""
 
-    def __init__(self, answer: bytes) -> None:
+    def __init__(self, reply: bytes) -> None:
         self.sent = b""
-        self._answer = answer
+        self._reply = reply
 
     async def send_all(self, data: bytes) -> None:
-        """Takes a request."""
+        """Records the request."""
         self.sent += data
 
     async def receive_some(self, _: int) -> bytes:
-        """Gives the answer."""
-        return self._answer
+        """Returns the reply."""
+        return self._reply
 
 
-class _ListsAgain:
-    """Lists the same for some rounds, then nothing any more."""
+class _RepeatingLink:
+    """Returns the same listing for some rounds, then blocks."""
 
     def __init__(self, reply: HoldReply, rounds: int) -> None:
         self.done = trio.Event()
         self._reply = reply
-        self._left = rounds
+        self._rounds_left = rounds
 
     async def hold(self, *_: object) -> HoldReply:
-        """Lists the same."""
-        if not self._left:
+        """Returns the listing, or blocks after the last round."""
+        if not self._rounds_left:
             self.done.set()
             await trio.sleep_forever()
-        self._left -= 1
+        self._rounds_left -= 1
         return self._reply
 
 
-class _NoStops:
-    """Stops nothing, as nothing has to be stopped."""
+class _UnexpectedStops:
+    """Fails the test at any stop, as nothing has to be stopped."""
 
     def stop(self, *_: object) -> None:
         """Fails the test."""
@@ -121,7 +121,7 @@
 async def test_a_call_to_a_worker_takes_few_steps() -> None:
     head = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n"
     length = b"content-length: %d\r\n\r\n" % len(_BODY)
-    stream = _Stream(head + length + _BODY)
+    stream = _FixedReplyStream(head + length + _BODY)
     connection = TargetConnection(stream, "10.0.0.1:80")  # type: ignore[arg-type]
     headers = [
         (b"content-type", b"application/json"),
@@ -178,21 +178,21 @@
     life, tasks = make_listed(book, _RUNS)
     learned = Learned()
     parts = make_parts(book, ledger, learned.judge, learned.on_listed)
-    taken = []
+    call_counts = []
     for rounds in (10, 20):
-        link = _ListsAgain(read_hold(body_of(tasks)), rounds)
+        link = _RepeatingLink(read_hold(body_of(tasks)), rounds)
         worker = Worker(life, 0, link)  # type: ignore[arg-type]
         for task, run in tasks:
             worker.add(task, run)
         async with trio.open_nursery() as nursery:
-            keeper = LeaseKeeper(worker, parts, _NoStops())
+            keeper = LeaseKeeper(worker, parts, _UnexpectedStops())
             with _counting() as count:
                 nursery.start_soon(keeper.run)
                 await link.done.wait()
             nursery.cancel_scope.cancel()
-        taken.append(count.calls)
-    # What a round takes, without what starts and ends the keeper.
-    calls = (taken[1] - taken[0]) / 10
+        call_counts.append(count.calls)
+    # The difference excludes the calls that start and end the keeper.
+    calls = (call_counts[1] - call_counts[0]) / 10
     assert calls <= 15 * _RUNS, calls
 
 
@@ -218,8 +218,8 @@
 
 @real_time
 async def test_a_new_connection_takes_few_steps() -> None:
-    # 10,000 connections to 246 workers were opened on a day, since one whose
-    # answer is late is closed; each cost as much as three calls.
+    # 10,000 connections to 246 workers were opened in a day, because one whose
+    # reply is late is closed. Each cost as much as three calls.
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     port = listeners[0].socket.getsockname()[1]
     calls = []
