--- a/pimentocross/owner/intake.py
+++ b/pimentocross/owner/intake.py
@@ -169,7 +169,7 @@
             return None
         job = records.decode_submission(job_id, value)
         # The entry VM may have used an older or newer version of the queue.
-        job.queue = self._config().newest_form(job.queue)
+        job.queue = self._config().latest_queue(job.queue)
         note("job_taken_up", job=job_id, queue=job.queue.name)
         meters.add_intake_processed("submission")
         self._wake()
--- a/pimentocross/owner/jobs.py
+++ b/pimentocross/owner/jobs.py
@@ -102,7 +102,7 @@
             for step in occurrence.steps:
                 if step.undone:
                     self._blocked_steps[step] = None
-        job.take_steps_done()
+        job.pop_completed_steps()
         for occurrence in job.occurrences:
             self._activate_steps(occurrence)
 
@@ -116,7 +116,7 @@
                 took = round(job.ended_at - job.accepted_at, 3)
                 note("job_ended", job=job.id, state=job.state, took=took)
         else:
-            for step in job.take_steps_done():
+            for step in job.pop_completed_steps():
                 self._active_steps.pop(step, None)
                 self._blocked_steps.pop(step, None)
                 self._activate_steps(step.occurrence)
@@ -161,7 +161,7 @@
         return sum(
             1
             for job in self._jobs.values()
-            if job.queue.name == queue and not job.ended and not job.begun
+            if job.queue.name == queue and not job.ended and not job.has_run
         )
 
     def apply_config(self, config: WorkConfig) -> None:
@@ -185,11 +185,11 @@
             del self._jobs[job.id]
             for prefix in _record_kinds(job):
                 self._ledger.put(LazyRecord(prefix + job.id, _no_value))
-            job.take_apart()
+            job.drop_tasks()
 
     def _activate_steps(self, occurrence: Occurrence) -> None:
         for step in occurrence.steps:
-            if step in self._blocked_steps and step.turn:
+            if step in self._blocked_steps and step.dependencies_done:
                 del self._blocked_steps[step]
                 self._active_steps[step] = None
 
--- a/pimentocross/zones/cell_roster.py
+++ b/pimentocross/zones/cell_roster.py
@@ -56,7 +56,7 @@
 
     def uncontacted(self) -> list[str]:
         """Returns the workers that have not answered under this ownership."""
-        return [w.name for w in self.workers.values() if not w.ever_met]
+        return [w.name for w in self.workers.values() if not w.ever_synced]
 
     async def follow_vm_list(self) -> None:
         """Updates the workers from the VM list until cancelled."""
--- a/pimentocross/zones/views.py
+++ b/pimentocross/zones/views.py
@@ -80,7 +80,9 @@
     """Returns a cell's load as it is now."""
     pending = sum(t.phase is TaskPhase.PENDING for t in tasks.values())
     free = sum(
-        max(w.commitments.free.slots, 0) for w in workers.values() if w.met
+        max(w.commitments.free.slots, 0)
+        for w in workers.values()
+        if w.is_synced
     )
     return CellLoad(pending, len(tasks) - pending, free)
 
