--- a/pimentocross/entry/__init__.py
+++ b/pimentocross/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The process on an entry VM: listeners, roles, and how they meet."""
+"""The entry VM process: its HTTP and peer listeners and background tasks."""
--- a/pimentocross/entry/answerer.py
+++ b/pimentocross/entry/answerer.py
@@ -1,4 +1,4 @@
-"""What this entry VM answers its peers."""
+"""Handles the requests that other entry VMs send to this one."""
 
 from typing import Any, Protocol
 
@@ -10,9 +10,9 @@
 from pimentocross.entry.idempotency import IdempotencyTable
 from pimentocross.entry.jobs import answer_for_cell, cell_of
 from pimentocross.entry.membership import Peers
-from pimentocross.entry.ownership import CellKeeper
+from pimentocross.entry.ownership import CellManager
 from pimentocross.entry.reports import Reports
-from pimentocross.entry.targets import TargetBook
+from pimentocross.entry.targets import TargetRegistry
 from pimentocross.links.greeting import PeerIdentity
 from pimentocross.links.messages import (
     Acknowledge,
@@ -47,55 +47,70 @@
 )
 
 
-class LoadBook(Protocol):
-    """Takes in what peers tell of their cells."""
+class HeartbeatObserver(Protocol):
+    """Receives the heartbeats of peers."""
 
     def note_heartbeat(self, process: str, heartbeat: Heartbeat) -> None:
-        """A peer's heartbeat came in."""
+        """Handles a heartbeat of the given peer process."""
         ...
 
 
-class Answerer:
-    """Answers peers' questions from what this process holds."""
+class PeerRequestHandler:
+    """Answers requests of peers from the state of this process.
+
+    Implements `PeerAnswerer`.
+    """
 
     def __init__(
         self,
         authority: Authority,
         config: StreamFold[ConfigState],
         folds: dict[str, StreamFold[Any]],
-        keeper: CellKeeper,
+        cell_manager: CellManager,
         keys: IdempotencyTable,
-        book: TargetBook,
+        target_registry: TargetRegistry,
         reports: Reports,
-        loads: LoadBook,
+        heartbeat_observer: HeartbeatObserver,
         peers: Peers,
     ) -> None:
-        """Takes what the answers come from."""
+        """Initializes the handler.
+
+        Args:
+            authority: This process's membership and ownership rules.
+            config: The configuration stream's fold.
+            folds: Folds that peers may fetch, by stream.
+            cell_manager: Runs the cells that this process owns.
+            keys: Idempotency keys that this process claimed.
+            target_registry: Updated with the targets that peers push.
+            reports: Answers the operator queries that peers pass on.
+            heartbeat_observer: Gets each heartbeat received.
+            peers: Gets each peer that has opened a connection.
+        """
         self._authority = authority
         self._config = config
         self._folds = folds
-        self._keeper = keeper
+        self._cell_manager = cell_manager
         self._keys = keys
-        self._book = book
+        self._target_registry = target_registry
         self._reports = reports
-        self._loads = loads
+        self._heartbeat_observer = heartbeat_observer
         self._peers = peers
 
     def refuse(self, reason: str) -> PeerMessage:
-        """Returns the answer to a question that can't be read."""
+        """Returns the reply to a message that can't be decoded."""
         return Refused(reason)
 
     async def answer(
         self, peer: PeerIdentity, message: PeerMessage
     ) -> PeerMessage:
-        """Returns the answer to one question; see `PeerAnswerer`."""
+        """Returns the reply to one request; see `PeerAnswerer`."""
         match message:
             case Heartbeat():
                 return self._on_heartbeat(peer, message)
             case Acknowledge(process):
                 return Acknowledged(self._authority.acknowledge(process))
             case PushTargets(cell, epoch, version, targets):
-                self._book.put(cell, epoch, version, targets)
+                self._target_registry.update_cell(cell, epoch, version, targets)
                 return Done()
             case SubmitJob() | CancelJob() | AskJob():
                 return await self._for_cell(message)
@@ -104,7 +119,7 @@
             case WaitConfig(version, timeout):
                 return await self._wait_config(version, timeout)
             case AskFold(stream):
-                return self._whole_fold(stream)
+                return self._fold_dump(stream)
             case AskRecords(stream, start):
                 return self._records(stream, start)
             case _:
@@ -113,14 +128,16 @@
     def _on_heartbeat(
         self, peer: PeerIdentity, message: Heartbeat
     ) -> HeartbeatReply:
-        self._peers.note_dialed_in(peer)
-        self._loads.note_heartbeat(peer.process, message)
-        self._book.note_elsewhere(peer.process, message.in_flight)
-        said = self._authority.statement()
+        self._peers.record_inbound(peer)
+        self._heartbeat_observer.note_heartbeat(peer.process, message)
+        self._target_registry.set_peer_in_flight(
+            peer.process, message.in_flight
+        )
+        statement = self._authority.statement()
         return HeartbeatReply(
-            said.position,
-            said.read_age,
-            said.acknowledged,
+            statement.position,
+            statement.read_age,
+            statement.acknowledged,
             self._config.state.version,
         )
 
@@ -128,7 +145,7 @@
         self, message: SubmitJob | CancelJob | AskJob
     ) -> PeerMessage:
         cell = cell_of(message.job)
-        owner = self._keeper.owned.get(cell)
+        owner = self._cell_manager.owned.get(cell)
         if owner is None:
             return Refused(f"{cell!r} is not owned here")
         return await answer_for_cell(owner, message)
@@ -139,7 +156,7 @@
                 await self._config.wait_change()
         return ConfigInForce(self._config.state.version)
 
-    def _whole_fold(self, stream: str) -> FoldAnswer:
+    def _fold_dump(self, stream: str) -> FoldAnswer:
         fold = self._folds.get(stream)
         if fold is None or not fold.ready:
             return FoldAnswer(-1, {}, [])
@@ -160,14 +177,14 @@
                 return self._reports.status()
             case AskVms():
                 return VmsAnswer(self._reports.vms())
-            case AskJobs(most):
-                return JobsAnswer(self._reports.jobs(most))
+            case AskJobs(limit):
+                return JobsAnswer(self._reports.jobs(limit))
             case AskWhy(subject):
-                return WhyAnswer(self._reports.why(subject))
+                return WhyAnswer(self._reports.explain(subject))
             case AskHistograms():
                 return HistogramsAnswer(self._reports.histograms())
             case LeaveWorker(worker):
-                owners = self._keeper.owned.values()
+                owners = self._cell_manager.owned.values()
                 return Left(any(owner.leave(worker) for owner in owners))
             case _:
                 return Refused("not a question")
--- a/pimentocross/entry/caller_api.py
+++ b/pimentocross/entry/caller_api.py
@@ -1,4 +1,4 @@
-"""What callers ask of an entry VM: services and jobs, over HTTP."""
+"""The HTTP API for callers: requests to services, and batch jobs."""
 
 from collections.abc import Callable
 import math
@@ -14,7 +14,7 @@
 from pimentocross.entry import const
 from pimentocross.entry.forwarder import Call, Forwarder
 from pimentocross.entry.idempotency import IdempotencyTable, hash_key
-from pimentocross.entry.jobs import JobDesk
+from pimentocross.entry.jobs import JobRouter
 from pimentocross.entry.rates import TenantRates
 from pimentocross.links.asgi import (
     CallerGoneError,
@@ -45,7 +45,7 @@
 
 
 class JobRequest(NamedTuple):
-    """The body of a job's submission."""
+    """The body of a request that submits a job."""
 
     class_name: str
     input: str = ""
@@ -53,18 +53,32 @@
 
 
 class CallerApi:
-    """The listener for callers."""
+    """The ASGI application that callers use.
+
+    It serves `/services/NAME/...`, `/jobs` and the load balancer's health
+    check.
+    """
 
     def __init__(
         self,
         get_config: Callable[[], Configuration | None],
         forwarder: Forwarder,
-        jobs: JobDesk,
+        jobs: JobRouter,
         keys: IdempotencyTable,
         histograms: Histograms,
         drain: Drain,
     ) -> None:
-        """Takes what serves the requests."""
+        """Initializes the API.
+
+        Args:
+            get_config: Returns the configuration in force, None before the
+                first one was read.
+            forwarder: Forwards requests to the targets of services.
+            jobs: Submits, cancels and queries jobs.
+            keys: Deduplicates requests with an idempotency key.
+            histograms: Gets the latency of each request.
+            drain: Refuses new requests once it has begun.
+        """
         self._get_config = get_config
         self._forwarder = forwarder
         self._jobs = jobs
@@ -74,12 +88,12 @@
         self._rates = TenantRates()
         self._leaving = False
 
-    def leave_balancer(self) -> None:
-        """Answers the balancer's checks with "leaving" from now on."""
+    def leave_load_balancer(self) -> None:
+        """Fails the load balancer's health checks from now on."""
         self._leaving = True
 
     async def app(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answers one request: the ASGI entry point."""
+        """Serves one request; this is the ASGI entry point."""
         if scope["path"] == HEALTH:
             await send_reply(send, self._health())
             return
@@ -122,13 +136,13 @@
             detail = "the body did not arrive in time"
             return not_run(408, "body-too-slow", detail).reply()
         if request.path.startswith(SERVICES):
-            return await self._call(request, config)
+            return await self._serve_call(request, config)
         if request.path == JOBS or request.path.startswith(JOBS + "/"):
-            return await self._job(request)
+            return await self._serve_job(request)
         detail = "paths are /services/NAME/... and /jobs"
         return not_run(404, "no-such-path", detail).reply()
 
-    async def _call(
+    async def _serve_call(
         self, request: HttpRequest, config: Configuration
     ) -> HttpReply:
         name, _, rest = request.path.removeprefix(SERVICES).partition("/")
@@ -168,8 +182,8 @@
         key = call.request.header(IDEMPOTENCY_KEY)
         if not key or call.request.method in service.idempotent_methods:
             return await self._forwarder.forward(call)
-        if len(key) > const.KEY_LENGTH_MOST:
-            detail = f"a key has at most {const.KEY_LENGTH_MOST} characters"
+        if len(key) > const.MAX_KEY_LENGTH:
+            detail = f"a key has at most {const.MAX_KEY_LENGTH} characters"
             return Result.Error(not_run(422, "bad-key", detail))
         return await self._keys.run_once(
             hash_key(tenant, key),
@@ -178,7 +192,7 @@
             lambda: self._forwarder.forward(call),
         )
 
-    async def _job(self, request: HttpRequest) -> HttpReply:
+    async def _serve_job(self, request: HttpRequest) -> HttpReply:
         timeout = _read_timeout(request, const.JOB_TIMEOUT)
         if isinstance(timeout, Problem):
             return timeout.reply()
@@ -187,7 +201,7 @@
             case "POST", False, "":
                 return await self._submit(request, timeout)
             case "GET", True, "" | "result":
-                return await self._look_up(job, part == "result", timeout)
+                return await self._get_job(job, part == "result", timeout)
             case "DELETE", True, "":
                 return await self._cancel(job, timeout)
         detail = "jobs take POST, GET and DELETE"
@@ -195,7 +209,7 @@
 
     async def _submit(self, request: HttpRequest, timeout: float) -> HttpReply:
         try:
-            wanted = _read_job(request.body)
+            job_request = _read_job(request.body)
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
             detail = f"not a job: {error}"
             return not_run(400, "bad-job", detail).reply()
@@ -205,32 +219,38 @@
         key = request.header(IDEMPOTENCY_KEY)
         if key:
             claim = await self._keys.claim(
-                hash_key(tenant, f"job:{key[: const.KEY_LENGTH_MOST]}"),
+                hash_key(tenant, f"job:{key[: const.MAX_KEY_LENGTH]}"),
                 xxhash.xxh3_128_hexdigest(request.body),
                 job,
                 timeout,
             )
             if claim.is_error():
                 return claim.error.reply()
-            # Whoever claimed it, the job's id makes the rest idempotent.
+            # The first claim of the key fixes the job's id, and submitting
+            # the same id again is idempotent.
             job = claim.ok.entry.claimed.job
-        left = max(timeout - (trio.current_time() - began), 0.1)
+        remaining = max(timeout - (trio.current_time() - began), 0.1)
         with log_action("submit", job=job) as fields:
             result = await self._jobs.submit(
-                job, tenant, wanted.class_name, wanted.tasks, wanted.input, left
+                job,
+                tenant,
+                job_request.class_name,
+                job_request.tasks,
+                job_request.input,
+                remaining,
             )
             fields.add(accepted=result.is_ok())
         if result.is_error():
             return result.error.reply()
         took = trio.current_time() - began
-        self._histograms.record(Label("submit", wanted.class_name), took)
+        self._histograms.record(Label("submit", job_request.class_name), took)
         extra = {"location": f"{JOBS}/{job}"}
         return json_reply({"job": job, "state": "accepted"}, 201, extra=extra)
 
-    async def _look_up(
+    async def _get_job(
         self, job: str, with_result: bool, timeout: float
     ) -> HttpReply:
-        found = await self._jobs.look_up(job, timeout)
+        found = await self._jobs.get_job(job, timeout)
         if found.is_error():
             return found.error.reply()
         answer = found.ok
@@ -272,9 +292,9 @@
         timeout = float(text)
     except ValueError:
         timeout = math.nan
-    if not 0 < timeout <= const.REQUEST_TIMEOUT_MOST:
-        most = const.REQUEST_TIMEOUT_MOST
-        detail = f"a timeout is in seconds, over 0 and at most {most:g}"
+    if not 0 < timeout <= const.MAX_REQUEST_TIMEOUT:
+        max_timeout = const.MAX_REQUEST_TIMEOUT
+        detail = f"a timeout is in seconds, over 0 and at most {max_timeout:g}"
         return not_run(400, "bad-timeout", detail)
     return timeout
 
--- a/pimentocross/entry/const.py
+++ b/pimentocross/entry/const.py
@@ -1,4 +1,4 @@
-"""Constants of the entry process. Durations are seconds."""
+"""Constants of the entry VM process. Durations are in seconds."""
 
 from typing import Final
 
@@ -8,32 +8,35 @@
 
 SYNC_INTERVAL: Final = 1.0
 CLAIM_INTERVAL: Final = 0.5
+# A peer that has sent nothing for this long is not live.
 SUSPECT_AFTER: Final = 3.5
-# A loop that is later than this was paused.
-PAUSE_LEAST: Final = 1.0
+# A loop pass that is later than this means that the process was paused.
+MIN_PAUSE: Final = 1.0
 JOIN_TIMEOUT: Final = 5.0
 CLAIM_TIMEOUT: Final = 5.0
 
+# Records after which a new snapshot of a stream is written.
 SNAPSHOT_RECORDS: Final = 500
-SNAPSHOT_CHECK: Final = 1.0
+SNAPSHOT_CHECK_INTERVAL: Final = 1.0
 
 JOB_TIMEOUT: Final = 10.0
-# Of the time that is left, what a cell's owner may take.
-OWNER_SHARE: Final = 0.8
+# Share of the remaining time that a cell's owner gets to reply.
+OWNER_TIMEOUT_SHARE: Final = 0.8
 JOB_RETRY_PAUSE: Final = 0.2
-JOB_TASKS_MOST: Final = 10_000
+MAX_JOB_TASKS: Final = 10_000
 CONFIG_TIMEOUT: Final = 30.0
 REQUEST_BODY_TIMEOUT: Final = 10.0
-REQUEST_TIMEOUT_MOST: Final = 300.0
-OPERATOR_BODY_MOST: Final = 4_000_000
+MAX_REQUEST_TIMEOUT: Final = 300.0
+MAX_OPERATOR_BODY_BYTES: Final = 4_000_000
 
-KEYS_KEPT: Final = 50_000
-KEY_BODY_MOST: Final = 16_000
-KEY_LENGTH_MOST: Final = 255
-KEY_WAIT: Final = 5.0
+MAX_KEYS: Final = 50_000
+MAX_KEPT_BODY_BYTES: Final = 16_000
+MAX_KEY_LENGTH: Final = 255
+KEY_PUBLISH_TIMEOUT: Final = 5.0
 
 RETRY_AFTER_LOG: Final = 5.0
 RETRY_AFTER_BUSY: Final = 1.0
-EJECT_FAILURES: Final = 5
-EJECT_FOR: Final = 5.0
-EJECT_SHARE_MOST: Final = 0.34
+# A target is ejected after this many failures in a row.
+EJECT_AFTER_FAILURES: Final = 5
+EJECT_DURATION: Final = 5.0
+MAX_EJECTED_SHARE: Final = 0.34
--- a/pimentocross/entry/forwarder.py
+++ b/pimentocross/entry/forwarder.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way to a target: queue, retry, hedge, answer."""
+"""Forwards callers' requests to targets with queueing, retries and hedging."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 from pimentocross.contracts.retry_budget import RetryBudget
 from pimentocross.entry import const
 from pimentocross.entry.hedging import Hedger
-from pimentocross.entry.targets import TargetBook
+from pimentocross.entry.targets import TargetRegistry
 from pimentocross.links.asgi import HttpReply, HttpRequest
 from pimentocross.links.headers import SERVICE, TRACE
 from pimentocross.links.target import TargetError, TargetLink
@@ -18,11 +18,12 @@
 from pimentocross.observe.problems import Problem, not_run, unknown
 
 _RETRIED_STATUSES = frozenset({502, 503, 504})
-# A hedge is sent once an answer takes this many times the usual latency.
-_HEDGE_FACTOR = 4.0
-_HEDGE_LEAST = 0.01
-# At the latest after this share of the time that is left.
-_HEDGE_SHARE = 0.3
+# A hedge is sent once a reply takes this many times the target's smoothed
+# latency, but not before the minimum delay below.
+_HEDGE_LATENCY_FACTOR = 4.0
+_MIN_HEDGE_DELAY = 0.01
+# A hedge is sent at the latest after this share of the remaining time.
+_MAX_HEDGE_DELAY_SHARE = 0.3
 
 ForwardResult = Result[HttpReply, Problem]
 
@@ -31,9 +32,9 @@
     """One request of a caller.
 
     Attributes:
-        service: The service asked for.
-        request: What is passed on.
-        deadline: When the caller has given up, on trio's clock.
+        service: Name of the requested service.
+        request: The request as the target gets it.
+        deadline: When the caller stops waiting, on trio's clock.
     """
 
     service: str
@@ -45,32 +46,38 @@
     """Forwards requests to targets.
 
     Attributes:
-        retries: Requests sent another time after a failure.
-        hedges: Requests sent a second time since the answer was late.
+        retries: Attempts after a failed one.
+        hedges: Requests sent to a second target because the reply was late.
         refused: Requests refused, by reason.
     """
 
     def __init__(
         self,
-        book: TargetBook,
+        target_registry: TargetRegistry,
         get_config: Callable[[], Configuration | None],
     ) -> None:
-        """Takes the targets and where the configuration is found."""
+        """Initializes the forwarder.
+
+        Args:
+            target_registry: The known targets of each service.
+            get_config: Returns the configuration in force, None before the
+                first one was read.
+        """
         self.retries = 0
         self.hedges = 0
         self.refused: dict[str, int] = {}
-        self._book = book
+        self._target_registry = target_registry
         self._get_config = get_config
         self._budgets: dict[str, RetryBudget] = {}
         self._queued: dict[str, int] = {}
         self._hedger: Hedger[Result[HttpReply, TargetError]] = Hedger()
 
     async def run(self) -> None:
-        """Sends the hedges, for ever."""
+        """Sends hedges until cancelled."""
         await self._hedger.run()
 
     async def forward(self, call: Call) -> ForwardResult:
-        """Returns the target's whole answer, or why there is none."""
+        """Returns the target's complete reply, or why there is none."""
         config = self._get_config()
         service = config.services.get(call.service) if config else None
         if config is None or service is None:
@@ -84,7 +91,7 @@
             if isinstance(link, Problem):
                 return self._refuse(link)
             tried.add(link.address)
-            result = await self._try(call, service, link, budget, tried)
+            result = await self._attempt(call, service, link, budget, tried)
             if not self._should_retry(call, service, result, budget, tried):
                 return self._to_answer(result)
             self.retries += 1
@@ -115,11 +122,11 @@
     async def _wait_target(
         self, call: Call, config: Configuration, tried: set[str]
     ) -> TargetLink | Problem:
-        """Waits in the bounded queue until a target has room."""
-        link = self._choose(call, tried)
+        """Waits in the service's bounded queue until a target has capacity."""
+        link = self._choose_target(call, tried)
         if link is not None:
             return link
-        if not self._book.is_known(call.service):
+        if not self._target_registry.is_known(call.service):
             detail = f"no target runs {call.service!r} now"
             return not_run(503, "no-target", detail, const.RETRY_AFTER_BUSY)
         queued = self._queued.get(call.service, 0)
@@ -137,20 +144,22 @@
     ) -> TargetLink | Problem:
         with trio.move_on_at(call.deadline):
             while True:
-                await self._book.wait_room()
-                link = self._choose(call, tried)
+                await self._target_registry.wait_for_capacity()
+                link = self._choose_target(call, tried)
                 if link is not None:
                     return link
         detail = "no target had room before the deadline"
         return not_run(503, "deadline", detail, const.RETRY_AFTER_BUSY)
 
-    def _choose(self, call: Call, tried: set[str]) -> TargetLink | None:
-        link = self._book.choose(call.service, tried)
-        if link is None and self._book.all_tried(call.service, tried):
-            return self._book.choose(call.service)
+    def _choose_target(self, call: Call, tried: set[str]) -> TargetLink | None:
+        link = self._target_registry.choose(call.service, tried)
+        if link is None and self._target_registry.all_tried(
+            call.service, tried
+        ):
+            return self._target_registry.choose(call.service)
         return link
 
-    async def _try(
+    async def _attempt(
         self,
         call: Call,
         service: ServiceConfig,
@@ -170,13 +179,13 @@
         trace = trace_id()
         if trace:
             extra.append((TRACE, trace.encode()))
-        left = max(call.deadline - trio.current_time(), 0.001)
+        remaining = max(call.deadline - trio.current_time(), 0.001)
         try:
-            return Ok(await link.send(call.request, extra, left))
+            return Ok(await link.send(call.request, extra, remaining))
         except TargetError as error:
             return Error(error)
         finally:
-            self._book.note_room()
+            self._target_registry.notify_capacity()
 
     async def _send_hedged(
         self,
@@ -186,10 +195,10 @@
         budget: RetryBudget,
         tried: set[str],
     ) -> Result[HttpReply, TargetError]:
-        """Sends again elsewhere if the answer is late; the first one wins."""
+        """Sends to a second target if the reply is late; the first one wins."""
 
-        async def send_again() -> Result[HttpReply, TargetError] | None:
-            other = self._book.choose(call.service, tried)
+        async def send_hedge() -> Result[HttpReply, TargetError] | None:
+            other = self._target_registry.choose(call.service, tried)
             if other is None or not budget.try_spend():
                 return None
             self.hedges += 1
@@ -201,7 +210,7 @@
 
         return await self._hedger.send(
             lambda: self._send(call, link),
-            send_again,
+            send_hedge,
             delay,
             lambda result: result.is_ok(),
         )
@@ -223,21 +232,23 @@
             return budget.try_spend()
         if not idempotent or result.ok.status not in _RETRIED_STATUSES:
             return False
-        if self._book.all_tried(call.service, tried):
+        if self._target_registry.all_tried(call.service, tried):
             return False
         return budget.try_spend()
 
 
-def _hedge_delay(link: TargetLink, left: float) -> float:
-    """Returns after how many seconds an answer is late."""
-    usual = link.limit.smoothed_latency
-    most = left * _HEDGE_SHARE
-    # Of a target that has never answered, nothing is usual yet.
+def _hedge_delay(link: TargetLink, remaining: float) -> float:
+    """Returns the delay before the hedge is sent, in seconds."""
+    latency = link.limit.smoothed_latency
+    max_delay = remaining * _MAX_HEDGE_DELAY_SHARE
+    # A target that has never replied has no smoothed latency yet.
     return (
-        min(max(usual * _HEDGE_FACTOR, _HEDGE_LEAST), most) if usual else most
+        min(max(latency * _HEDGE_LATENCY_FACTOR, _MIN_HEDGE_DELAY), max_delay)
+        if latency
+        else max_delay
     )
 
 
 def is_idempotent(call: Call, service: ServiceConfig) -> bool:
-    """True if the request may be sent more than once."""
+    """Returns True if the request may be sent more than once."""
     return call.request.method in service.idempotent_methods
--- a/pimentocross/entry/hedging.py
+++ b/pimentocross/entry/hedging.py
@@ -1,7 +1,7 @@
-"""Sends a late request a second time, with one timer for all requests.
+"""Hedges requests whose replies are late, with one timer for all requests.
 
-Nearly every request is answered long before its hedge is due, so a request
-costs an entry in a heap here, and no task of its own.
+Load pattern: nearly every request gets its reply long before its hedge is
+due. So a request costs an entry in a heap and no task of its own.
 """
 
 from collections.abc import Awaitable, Callable
@@ -14,41 +14,41 @@
 AnswerT = TypeVar("AnswerT")
 
 
-class _Waiting(Generic[AnswerT]):
-    """A request that waits for its answer."""
+class _PendingRequest(Generic[AnswerT]):
+    """A request without a reply yet."""
 
     def __init__(
         self,
-        send_again: Callable[[], Awaitable[AnswerT | None]],
+        send_hedge: Callable[[], Awaitable[AnswerT | None]],
         is_good: Callable[[AnswerT], bool],
     ) -> None:
-        self.send_again = send_again
+        self.send_hedge = send_hedge
         self.is_good = is_good
-        self.scope = trio.CancelScope()
+        self.request_scope = trio.CancelScope()
         self.hedge_scope = trio.CancelScope()
         self.hedge_ended = trio.Event()
-        self.hedged = False
+        self.hedge_started = False
         self.done = False
         self.answer: AnswerT | None = None
 
 
 class Hedger(Generic[AnswerT]):
-    """Watches requests and hedges those whose answers are late."""
+    """Sends requests, and a hedge for each one whose reply is late."""
 
     def __init__(self) -> None:
-        """Starts without requests; `run` sends the hedges."""
-        self._due: list[tuple[float, int, _Waiting[AnswerT]]] = []
+        """Initializes an empty hedger; `run` sends the hedges."""
+        self._due: list[tuple[float, int, _PendingRequest[AnswerT]]] = []
         self._numbers = itertools.count()
-        self._added = trio.Event()
+        self._request_added = trio.Event()
 
     async def run(self) -> None:
-        """Sends hedges when they are due, for ever."""
+        """Sends hedges when they are due, until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 self._drop_done()
                 if not self._due:
-                    self._added = trio.Event()
-                    await self._added.wait()
+                    self._request_added = trio.Event()
+                    await self._request_added.wait()
                     continue
                 await trio.sleep_until(self._due[0][0])
                 self._send_due(nursery)
@@ -56,36 +56,41 @@
     async def send(
         self,
         send: Callable[[], Awaitable[AnswerT]],
-        send_again: Callable[[], Awaitable[AnswerT | None]],
+        send_hedge: Callable[[], Awaitable[AnswerT | None]],
         delay: float,
         is_good: Callable[[AnswerT], bool],
     ) -> AnswerT:
-        """Returns the first good answer of a request and its hedge.
+        """Sends a request and returns the first good reply.
+
+        If neither the request nor its hedge gets a good reply, the reply to
+        the request itself is returned.
 
         Args:
             send: Sends the request.
-            send_again: Sends the hedge; None if none may be sent.
+            send_hedge: Sends the hedge; returns None if it may not be sent.
             delay: Seconds after which the hedge is due.
-            is_good: Whether an answer ends the wait for the other.
+            is_good: Whether a reply ends the wait for the other one.
         """
-        waiting = _Waiting(send_again, is_good)
+        pending = _PendingRequest(send_hedge, is_good)
         due = trio.current_time() + delay
-        heapq.heappush(self._due, (due, next(self._numbers), waiting))
-        self._added.set()
+        heapq.heappush(self._due, (due, next(self._numbers), pending))
+        self._request_added.set()
         answer: AnswerT | None = None
         try:
-            with waiting.scope:
+            with pending.request_scope:
                 answer = await send()
             if answer is not None and is_good(answer):
                 return answer
-            if waiting.hedged:
-                await waiting.hedge_ended.wait()
+            if pending.hedge_started:
+                await pending.hedge_ended.wait()
         finally:
-            waiting.done = True
-            waiting.hedge_scope.cancel()
-        better = waiting.answer
-        if better is not None and (answer is None or is_good(better)):
-            return better
+            pending.done = True
+            pending.hedge_scope.cancel()
+        hedge_answer = pending.answer
+        if hedge_answer is not None and (
+            answer is None or is_good(hedge_answer)
+        ):
+            return hedge_answer
         assert answer is not None
         return answer
 
@@ -96,15 +101,15 @@
     def _send_due(self, nursery: trio.Nursery) -> None:
         now = trio.current_time()
         while self._due and self._due[0][0] <= now:
-            waiting = heapq.heappop(self._due)[2]
-            if not waiting.done:
-                waiting.hedged = True
-                nursery.start_soon(self._hedge, waiting)
-
-    async def _hedge(self, waiting: _Waiting[AnswerT]) -> None:
-        with waiting.hedge_scope:
-            waiting.answer = await waiting.send_again()
-            answer = waiting.answer
-            if answer is not None and waiting.is_good(answer):
-                waiting.scope.cancel()
-        waiting.hedge_ended.set()
+            pending = heapq.heappop(self._due)[2]
+            if not pending.done:
+                pending.hedge_started = True
+                nursery.start_soon(self._hedge, pending)
+
+    async def _hedge(self, pending: _PendingRequest[AnswerT]) -> None:
+        with pending.hedge_scope:
+            pending.answer = await pending.send_hedge()
+            answer = pending.answer
+            if answer is not None and pending.is_good(answer):
+                pending.request_scope.cancel()
+        pending.hedge_ended.set()
--- a/pimentocross/entry/idempotency.py
+++ b/pimentocross/entry/idempotency.py
@@ -25,7 +25,7 @@
 
 
 class Claim(NamedTuple):
-    """A key's entry, and whether it was this claim that won it."""
+    """A key's entry, and whether this claim was the first one."""
 
     entry: KeyEntry
     won: bool
@@ -35,17 +35,27 @@
 
 
 def hash_key(tenant: str, key: str) -> str:
-    """Returns a tenant's key as it stands in the log."""
+    """Returns the hash under which a tenant's key is stored in the log."""
     return xxhash.xxh3_128_hexdigest(f"{tenant}\0{key}".encode())
 
 
 class IdempotencyTable:
-    """Claims keys in the log, and gives repeats the first one's answer."""
+    """Claims keys in the log; repeats get the reply to the first request.
+
+    Only the process that claimed a key runs its request. Repeats that arrive
+    at other entry VMs read the outcome from the log or ask that process.
+    """
 
     def __init__(
         self, fold: StreamFold[KeysState], process: str, peers: Peers
     ) -> None:
-        """Takes the key stream's fold and this process's id."""
+        """Initializes the table.
+
+        Args:
+            fold: The key stream's fold.
+            process: Id of this process.
+            peers: Links to the processes that may have claimed a key.
+        """
         self._fold = fold
         self._process = process
         self._peers = peers
@@ -55,7 +65,14 @@
     async def claim(
         self, key: str, digest: str, job: str, timeout: float
     ) -> Result[Claim, Problem]:
-        """Claims a key, or finds who claimed it before."""
+        """Claims a key, or returns the entry of its earlier claim.
+
+        Args:
+            key: The hashed key, see `hash_key`.
+            digest: Hash of the request; a key can't be used for another one.
+            job: Id of the job that the request submits, or "".
+            timeout: Seconds to wait for the log.
+        """
         entry = self._fold.state.get(key)
         if entry is None:
             claimed = KeyClaimed(key, self._process, digest, job)
@@ -66,7 +83,7 @@
                 return Ok(Claim(KeyEntry(claimed, None), True))
             entry = self._fold.state.get(key)
             if entry is None or verdict.outcome is not Outcome.REJECTED:
-                return Error(self._note_no_claim(key, verdict))
+                return Error(self._on_claim_failure(key, verdict))
         if entry.claimed.digest != digest:
             detail = "the key was used for another request"
             return Error(not_run(422, "key-reused", detail))
@@ -75,7 +92,10 @@
     async def run_once(
         self, key: str, digest: str, timeout: float, run: Run
     ) -> Result[HttpReply, Problem]:
-        """Runs a request unless its key was claimed before."""
+        """Runs a request, or returns the reply if its key was claimed before.
+
+        Concurrent repeats at this process wait for the first request.
+        """
         deadline = trio.current_time() + timeout
         while key in self._running:
             with trio.move_on_at(deadline) as scope:
@@ -85,19 +105,24 @@
                 return Error(unknown(504, "key-unknown", detail))
         self._running[key] = trio.Event()
         try:
-            left = max(deadline - trio.current_time(), 0.001)
-            claim = await self.claim(key, digest, "", left)
+            remaining = max(deadline - trio.current_time(), 0.001)
+            claim = await self.claim(key, digest, "", remaining)
             if claim.is_error():
                 return Error(claim.error)
             if claim.ok.won:
                 return await self._run(key, run)
         finally:
             self._running.pop(key).set()
-        left = max(deadline - trio.current_time(), 0.0)
-        return self._to_reply(await self._await_answer(claim.ok.entry, left))
+        remaining = max(deadline - trio.current_time(), 0.0)
+        return self._to_reply(
+            await self._await_answer(claim.ok.entry, remaining)
+        )
 
     async def answer(self, key: str, timeout: float) -> KeyAnswer:
-        """Returns how a request ended that this process claimed."""
+        """Returns the outcome of a request that this process claimed.
+
+        Waits up to `timeout` seconds if the request is still running.
+        """
         running = self._running.get(key)
         if running is not None:
             with trio.move_on_after(timeout):
@@ -112,22 +137,24 @@
             return result
         finally:
             self._answers[key] = answer
-            self._trim()
+            self._evict_answers()
             self._settle(key, answer)
 
-    def _note_no_claim(self, key: str, verdict: Verdict) -> Problem:
+    def _on_claim_failure(self, key: str, verdict: Verdict) -> Problem:
         if verdict.outcome is Outcome.UNKNOWN:
-            # The claim may stand, yet nothing is run under it.
+            # The claim may be in the log although the request is not run, so
+            # it is released.
             self._answers[key] = KeyAnswer("released")
             self._settle(key, KeyAnswer("released"))
         detail = f"the key could not be claimed: {verdict.reason}"
         return not_run(503, "no-claim", detail, const.RETRY_AFTER_LOG)
 
     def _settle(self, key: str, answer: KeyAnswer) -> None:
-        body = answer.body[: const.KEY_BODY_MOST + 1]
+        body = answer.body[: const.MAX_KEPT_BODY_BYTES + 1]
         state = answer.state
-        if len(body) > const.KEY_BODY_MOST:
-            # Too long to keep: repeats elsewhere are told so.
+        if len(body) > const.MAX_KEPT_BODY_BYTES:
+            # The reply is too long for the log: other entry VMs answer
+            # repeats with "unknown".
             state, body = "unknown", b""
         settled = KeySettled(
             key,
@@ -137,11 +164,11 @@
             answer.content_type,
             body.decode("latin-1"),
         )
-        # The caller does not wait for this; the log may be away.
+        # The caller does not wait for this: the log may be unavailable.
         self._fold.publish_later(KINDS.encode(settled))
 
-    def _trim(self) -> None:
-        while len(self._answers) > const.KEYS_KEPT // 50:
+    def _evict_answers(self) -> None:
+        while len(self._answers) > const.MAX_KEYS // 50:
             del self._answers[next(iter(self._answers))]
 
     async def _await_answer(self, entry: KeyEntry, timeout: float) -> KeyAnswer:
--- a/pimentocross/entry/jobs.py
+++ b/pimentocross/entry/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs of callers: sent to the cell's owner, wherever that is."""
+"""Routes job requests to the owner of the job's cell."""
 
 import secrets
 from typing import Protocol
@@ -11,7 +11,7 @@
 from pimentocross.contracts.outbox import Outcome
 from pimentocross.entry import const
 from pimentocross.entry.membership import Peers
-from pimentocross.entry.ownership import CellKeeper
+from pimentocross.entry.ownership import CellManager
 from pimentocross.links.messages import (
     AskJob,
     CancelJob,
@@ -28,32 +28,44 @@
 from pimentocross.zones.views import CellLoad
 
 
-class Loads(Protocol):
-    """Tells how full cells are."""
+class CellLoadSource(Protocol):
+    """Reports the load of cells."""
 
     def cell_loads(self) -> dict[str, CellLoad]:
-        """Returns the newest load known of each cell."""
+        """Returns the newest known load of each cell, by name."""
         ...
 
 
-class JobDesk:
-    """Submits, cancels and looks up jobs at their cell's owner."""
+class JobRouter:
+    """Submits, cancels and queries jobs at the owner of their cell."""
 
     def __init__(
         self,
         peers: Peers,
-        keeper: CellKeeper,
+        cell_manager: CellManager,
         config: StreamFold[ConfigState],
-        loads: Loads,
+        loads: CellLoadSource,
     ) -> None:
-        """Takes how owners are found."""
+        """Initializes the router.
+
+        Args:
+            peers: Links to the other entry VMs.
+            cell_manager: Knows each cell's owner and runs the cells owned by
+                this process.
+            config: The configuration stream's fold.
+            loads: Load of the cells, to place new jobs.
+        """
         self._peers = peers
-        self._keeper = keeper
+        self._cell_manager = cell_manager
         self._config = config
         self._loads = loads
 
     def new_job_id(self) -> str:
-        """Returns an id of a job for the cell that suits best now."""
+        """Returns an id for a new job, which also chooses its cell.
+
+        Cells with an owner come first, then those with the fewest pending
+        tasks.
+        """
         return f"{self._choose_cell()}.{secrets.token_hex(10)}"
 
     async def submit(
@@ -65,18 +77,25 @@
         input_text: str,
         timeout: float,
     ) -> Result[None, Problem]:
-        """Submits a job; accepted once its record was read back."""
+        """Submits a job.
+
+        Tries again until the timeout, or until the owner replies that the
+        log is unavailable and no earlier attempt may have been stored.
+
+        Returns:
+            Ok once the owner has read the job's record back from the log.
+        """
         problem = self._check(tenant, class_name, tasks, input_text)
         if problem is not None:
             return Error(problem)
         cell = cell_of(job)
         deadline = trio.current_time() + timeout
         maybe_sent = False
-        last = Judged(Outcome.NOT_SENT, f"nobody owns {cell} now")
+        last_reply = Judged(Outcome.NOT_SENT, f"nobody owns {cell} now")
         while trio.current_time() < deadline:
-            left = deadline - trio.current_time()
-            # The owner gives up first, so that its answer is still heard.
-            theirs = left * const.OWNER_SHARE
+            remaining = deadline - trio.current_time()
+            # The owner's timeout is shorter, so that its reply arrives in time.
+            owner_timeout = remaining * const.OWNER_TIMEOUT_SHARE
             message = SubmitJob(
                 cell,
                 job,
@@ -84,28 +103,28 @@
                 class_name,
                 tasks,
                 input_text,
-                theirs,
+                owner_timeout,
                 trace_id(),
             )
             try:
-                reply = await self._ask_owner(cell, message, left)
+                reply = await self._ask_owner(cell, message, remaining)
             except PeerUnreachableError as error:
                 maybe_sent |= error.sent
                 reply = None
             if isinstance(reply, Judged):
-                last = reply
+                last_reply = reply
                 maybe_sent |= reply.outcome == Outcome.UNKNOWN
                 if reply.outcome == Outcome.ACCEPTED:
                     return Ok(None)
                 if "log service away" in reply.reason and not maybe_sent:
                     break
             await trio.sleep(const.JOB_RETRY_PAUSE)
-        return Error(_judge(last, maybe_sent))
+        return Error(_to_problem(last_reply, maybe_sent))
 
     async def cancel(self, job: str, timeout: float) -> Result[None, Problem]:
-        """Cancels a job; idempotent."""
+        """Cancels a job; this is idempotent."""
         cell = cell_of(job)
-        message = CancelJob(cell, job, timeout * const.OWNER_SHARE)
+        message = CancelJob(cell, job, timeout * const.OWNER_TIMEOUT_SHARE)
         try:
             reply = await self._ask_owner(cell, message, timeout)
         except PeerUnreachableError as error:
@@ -119,12 +138,12 @@
             return Ok(None)
         if isinstance(reply, Judged) and reply.outcome == Outcome.REJECTED:
             return Error(not_run(409, "not-cancelled", reply.reason))
-        return Error(_judge(reply, False))
+        return Error(_to_problem(reply, False))
 
-    async def look_up(
+    async def get_job(
         self, job: str, timeout: float
     ) -> Result[JobAnswer, Problem]:
-        """Returns what the cell's owner knows of a job."""
+        """Returns a job's state from the owner of its cell."""
         cell = cell_of(job)
         try:
             reply = await self._ask_owner(cell, AskJob(cell, job), timeout)
@@ -140,12 +159,12 @@
     async def _ask_owner(
         self, cell: str, message: PeerMessage, timeout: float
     ) -> PeerMessage:
-        owner = self._keeper.owned.get(cell)
-        if owner is not None and self._keeper.owner_of(cell) == (
-            self._peers.mine.process
+        owner = self._cell_manager.owned.get(cell)
+        if owner is not None and self._cell_manager.owner_of(cell) == (
+            self._peers.local_identity.process
         ):
             return await answer_for_cell(owner, message)
-        link = self._peers.link_to(self._keeper.owner_of(cell))
+        link = self._peers.link_to(self._cell_manager.owner_of(cell))
         if link is None:
             raise PeerUnreachableError("the owner is not live", sent=False)
         return await link.ask(message, timeout)
@@ -161,8 +180,8 @@
         if tenant and tenant != batch.tenant:
             detail = f"{class_name!r} belongs to tenant {batch.tenant!r}"
             return not_run(403, "other-tenant", detail)
-        if not 1 <= tasks <= const.JOB_TASKS_MOST:
-            detail = f"a job has 1 to {const.JOB_TASKS_MOST} tasks, not {tasks}"
+        if not 1 <= tasks <= const.MAX_JOB_TASKS:
+            detail = f"a job has 1 to {const.MAX_JOB_TASKS} tasks, not {tasks}"
             return not_run(422, "bad-tasks", detail)
         if len(input_text) > config.limits.input:
             detail = f"the input has over {config.limits.input} characters"
@@ -175,22 +194,22 @@
         if not cells:
             return ""
         loads = self._loads.cell_loads()
-        none = CellLoad(0, 0, 0)
+        unknown_load = CellLoad(0, 0, 0)
 
         def cost(cell: str) -> tuple[bool, int, int]:
-            load = loads.get(cell, none)
-            unowned = not self._keeper.owner_of(cell)
+            load = loads.get(cell, unknown_load)
+            unowned = not self._cell_manager.owner_of(cell)
             return unowned, load.pending, -load.free_slots
 
         return min(cells, key=cost)
 
 
 def cell_of(job: str) -> str:
-    """Returns the cell that a job's id names."""
+    """Returns the name of the cell that a job's id starts with."""
     return job.partition(".")[0]
 
 
-def _judge(reply: PeerMessage | Judged, maybe_sent: bool) -> Problem:
+def _to_problem(reply: PeerMessage | Judged, maybe_sent: bool) -> Problem:
     reason = "the owner did not answer"
     if isinstance(reply, Judged | Refused):
         reason = reply.reason
@@ -202,7 +221,7 @@
 async def answer_for_cell(
     owner: CellOwner, message: PeerMessage
 ) -> PeerMessage:
-    """Answers a question about a cell as its owner."""
+    """Serves a job request for a cell that this process owns."""
     match message:
         case SubmitJob():
             return await _accept(owner, message)
@@ -230,7 +249,7 @@
 
 
 def describe_job(owner: CellOwner, name: str) -> JobAnswer | Refused:
-    """Returns a job as its cell's owner knows it."""
+    """Returns a job's state; an empty state means an unknown job."""
     if not owner.opened:
         return Refused("the cell is changing hands")
     job = owner.fold.state.jobs.get(name)
--- a/pimentocross/entry/keys.py
+++ b/pimentocross/entry/keys.py
@@ -1,7 +1,8 @@
-"""Idempotency keys: claimed in the log before a request is run.
+"""Records and folded state of idempotency keys.
 
-The first claim of a key that the log orders wins; whoever repeats the key
-is given the winner's answer, or "unknown" if the winner is gone.
+A key is claimed in the log before its request is run. The first claim in the
+order of the log wins. Later requests with the same key get the reply to the
+first one, or "unknown" if the process that claimed the key is gone.
 """
 
 from collections import OrderedDict
@@ -11,17 +12,17 @@
 
 from pimentocross.backing.log import RecordBody
 from pimentocross.contracts.records import RecordKinds
-from pimentocross.entry.const import KEYS_KEPT
+from pimentocross.entry.const import MAX_KEYS
 
 
 class KeyClaimed(NamedTuple):
-    """A process is about to run the request with this key.
+    """Record: a process is about to run the request with this key.
 
     Attributes:
-        key: Tenant and key, hashed.
-        process: Who runs it.
-        digest: Hash of the request, so that another one is told apart.
-        job: Id of the job that it submits, or "".
+        key: Hash of tenant and key.
+        process: Id of the process that runs the request.
+        digest: Hash of the request, to detect another one with the same key.
+        job: Id of the job that the request submits, or "".
     """
 
     key: str
@@ -31,7 +32,7 @@
 
 
 class KeySettled(NamedTuple):
-    """How the request ended; `state` as in `messages.KeyAnswer`."""
+    """Record: how the request ended; `state` as in `messages.KeyAnswer`."""
 
     key: str
     process: str
@@ -49,7 +50,7 @@
 
 
 class KeyEntry(NamedTuple):
-    """A key as folded; `settled` is None while it runs."""
+    """A key's state; `settled` is None while its request runs."""
 
     claimed: KeyClaimed
     settled: KeySettled | None
@@ -59,15 +60,15 @@
     """The newest keys, folded from the key stream."""
 
     def __init__(self) -> None:
-        """Starts empty."""
+        """Initializes an empty state."""
         self._entries: OrderedDict[str, KeyEntry] = OrderedDict()
 
     def get(self, key: str) -> KeyEntry | None:
-        """Returns what is known of a key."""
+        """Returns a key's entry, or None if the key is not known."""
         return self._entries.get(key)
 
     def apply(self, offset: int, body: RecordBody) -> str | None:
-        """Folds one record; returns why it is rejected, or None."""
+        """Applies one record; returns why it is rejected, or None."""
         match KINDS.decode(body):
             case KeyClaimed() as claimed:
                 return self._apply_claimed(claimed)
@@ -82,7 +83,7 @@
         return {"entries": entries}
 
     def load(self, dump: RecordBody) -> None:
-        """Replaces the state by a dumped one."""
+        """Replaces the state with a dumped one."""
         entries = msgspec.convert(dump["entries"], list[KeyEntry])
         self._entries = OrderedDict((e.claimed.key, e) for e in entries)
 
@@ -90,7 +91,7 @@
         if claimed.key in self._entries:
             return "the key is claimed"
         self._entries[claimed.key] = KeyEntry(claimed, None)
-        while len(self._entries) > KEYS_KEPT:
+        while len(self._entries) > MAX_KEYS:
             self._entries.popitem(last=False)
         return None
 
--- a/pimentocross/entry/node.py
+++ b/pimentocross/entry/node.py
@@ -1,4 +1,4 @@
-"""One entry process: all roles put together, started and stopped."""
+"""The entry VM process: creates, starts and stops its components."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
@@ -20,20 +20,20 @@
 from pimentocross.contracts.outbox import Verdict
 from pimentocross.contracts.ownership import OwnershipState
 from pimentocross.entry import const
-from pimentocross.entry.answerer import Answerer
+from pimentocross.entry.answerer import PeerRequestHandler
 from pimentocross.entry.caller_api import CallerApi
 from pimentocross.entry.forwarder import Forwarder
 from pimentocross.entry.idempotency import IdempotencyTable
-from pimentocross.entry.jobs import JobDesk
+from pimentocross.entry.jobs import JobRouter
 from pimentocross.entry.keys import KeysState
 from pimentocross.entry.membership import Peers
 from pimentocross.entry.operator_api import OperatorApi
-from pimentocross.entry.ownership import CellKeeper
+from pimentocross.entry.ownership import CellManager
 from pimentocross.entry.reports import Reports
 from pimentocross.entry.settings import EntrySettings
 from pimentocross.entry.snapshots import write_snapshots
-from pimentocross.entry.target_pushes import TargetPushes
-from pimentocross.entry.targets import TargetBook
+from pimentocross.entry.target_pushes import TargetPublisher
+from pimentocross.entry.targets import TargetRegistry
 from pimentocross.links.greeting import PeerIdentity
 from pimentocross.links.http_server import HttpListener, serve_http
 from pimentocross.links.messages import (
@@ -54,7 +54,7 @@
 
 
 class Platform(NamedTuple):
-    """The platform's services, as one entry process reaches them."""
+    """Clients of the platform's services that an entry process uses."""
 
     log: LogService
     vm_list: VmList
@@ -62,7 +62,7 @@
 
 
 class Ports(NamedTuple):
-    """Where an entry process listens."""
+    """Ports on which an entry process listens."""
 
     caller: int
     operator: int
@@ -70,7 +70,7 @@
 
 
 class EntryNode:
-    """One entry VM's process."""
+    """The process on an entry VM, with all its components."""
 
     def __init__(
         self,
@@ -80,10 +80,19 @@
         dial: StreamDialer = dial_tcp,
         process: str = "",
     ) -> None:
-        """Puts the roles together; `open_entry` runs them."""
+        """Creates the components; `open_entry` runs them.
+
+        Args:
+            settings: Settings of the process.
+            platform: Clients of the platform's services.
+            dial: Opens a connection to a peer's address.
+            process: Id of the process; "" for a new one.
+        """
         address = f"{settings.host}:{settings.peer_port}"
         process = process or new_process_id(settings.name)
-        mine = PeerIdentity(process, settings.name, address, settings.zone)
+        local_identity = PeerIdentity(
+            process, settings.name, address, settings.zone
+        )
         log = platform.log
         self._settings = settings
         self._platform = platform
@@ -102,7 +111,7 @@
         self._vms = VmFollower(platform.vm_list)
         self._authority = Authority(self._ownership, process, settings.timing)
         self._peers = Peers(
-            mine,
+            local_identity,
             settings.credentials,
             self._authority,
             self._folds,
@@ -110,8 +119,8 @@
             self,
             dial=dial,
         )
-        self._book = TargetBook(settings.zone)
-        self._keeper = CellKeeper(
+        self._target_registry = TargetRegistry(settings.zone)
+        self._cell_manager = CellManager(
             log,
             self._authority,
             self._config,
@@ -119,21 +128,27 @@
             self._vms,
             platform.workers,
             settings.retention,
-            lambda: self._pushes.note_change(),
+            lambda: self._target_publisher.notify_change(),
         )
         self._loads: dict[str, dict[str, CellLoad]] = {}
-        self._pushes = TargetPushes(self._keeper, self._book, self._peers)
-        self._build_faces(mine)
+        self._target_publisher = TargetPublisher(
+            self._cell_manager, self._target_registry, self._peers
+        )
+        self._build_apis(local_identity)
 
-    def _build_faces(self, mine: PeerIdentity) -> None:
-        keys = IdempotencyTable(self._key_fold, mine.process, self._peers)
-        self._forwarder = Forwarder(self._book, self.get_config)
-        self._jobs = JobDesk(self._peers, self._keeper, self._config, self)
+    def _build_apis(self, local_identity: PeerIdentity) -> None:
+        keys = IdempotencyTable(
+            self._key_fold, local_identity.process, self._peers
+        )
+        self._forwarder = Forwarder(self._target_registry, self.get_config)
+        self._jobs = JobRouter(
+            self._peers, self._cell_manager, self._config, self
+        )
         self._reports = Reports(
             self._authority,
             self._config,
             self._peers,
-            self._keeper,
+            self._cell_manager,
             self._histograms,
             self._drain,
             lambda: self._ownership.log_away,
@@ -155,29 +170,29 @@
             self.control_bytes,
             self._leave_worker,
         )
-        answerer = Answerer(
+        answerer = PeerRequestHandler(
             self._authority,
             self._config,
             self._folds,
-            self._keeper,
+            self._cell_manager,
             keys,
-            self._book,
+            self._target_registry,
             self._reports,
             self,
             self._peers,
         )
         self._listener = PeerListener(
-            mine, self._settings.credentials, answerer, PEER_MESSAGES
+            local_identity, self._settings.credentials, answerer, PEER_MESSAGES
         )
 
     @property
     def process(self) -> str:
-        """This process's id."""
+        """Id of this process."""
         return self._authority.process
 
     @property
     def authority(self) -> Authority:
-        """Its standing in the ownership stream."""
+        """Its membership and ownerships in the ownership stream."""
         return self._authority
 
     @property
@@ -187,55 +202,57 @@
 
     @property
     def key_state(self) -> KeysState:
-        """The idempotency keys that it knows."""
+        """The known idempotency keys."""
         return self._key_fold.state
 
     async def publish_key(self, body: RecordBody) -> Verdict:
-        """Publishes a record of the key stream."""
-        return await self._key_fold.publish(body, timeout=const.KEY_WAIT)
+        """Publishes a record to the key stream."""
+        return await self._key_fold.publish(
+            body, timeout=const.KEY_PUBLISH_TIMEOUT
+        )
 
     @property
     def owned(self) -> dict[str, CellOwner]:
-        """Cells that it runs, by name."""
-        return self._keeper.owned
+        """Cells that this process runs, by name."""
+        return self._cell_manager.owned
 
     @property
     def peers(self) -> Peers:
-        """Its links to other entry VMs."""
+        """Links to the other entry VMs."""
         return self._peers
 
     @property
-    def book(self) -> TargetBook:
-        """The targets that it knows."""
-        return self._book
+    def target_registry(self) -> TargetRegistry:
+        """The known targets of all services."""
+        return self._target_registry
 
     @property
     def forwarder(self) -> Forwarder:
-        """What forwards its callers' requests."""
+        """Forwards callers' requests to targets."""
         return self._forwarder
 
     @property
-    def jobs(self) -> JobDesk:
-        """What submits its callers' jobs."""
+    def jobs(self) -> JobRouter:
+        """Submits callers' jobs to the owners of cells."""
         return self._jobs
 
     @property
     def caller_api(self) -> CallerApi:
-        """Its listener for callers."""
+        """The HTTP API for callers."""
         return self._caller_api
 
     @property
     def operator_api(self) -> OperatorApi:
-        """Its listener for operators."""
+        """The HTTP API for operators."""
         return self._operator_api
 
     @property
     def peer_listener(self) -> EntryListener:
-        """Its listener for peers."""
+        """The listener for connections of peers."""
         return self._listener
 
     def control_bytes(self) -> int:
-        """Returns bytes moved with peers and the platform since the start."""
+        """Returns the bytes exchanged with peers and the platform so far."""
         links = sum(link.bytes_moved for link in self._peers.links)
         platform = sum(
             getattr(part, "bytes_moved", 0) for part in self._platform
@@ -248,54 +265,54 @@
 
     @property
     def histograms(self) -> Histograms:
-        """Latencies that it has measured."""
+        """Latencies of requests to this process."""
         return self._histograms
 
-    def leave_balancer(self) -> None:
-        """Tells the balancer to send nothing more; requests still run."""
-        self._caller_api.leave_balancer()
+    def leave_load_balancer(self) -> None:
+        """Fails the load balancer's health checks but serves requests."""
+        self._caller_api.leave_load_balancer()
 
     def request_stop(self) -> None:
-        """Asks for the graceful stop."""
+        """Requests the graceful stop."""
         self._stop_requested.set()
 
     def heartbeat(self) -> Heartbeat:
-        """Returns what to tell peers now; see `PeerCare`."""
+        """Returns the heartbeat to send now; see `PeerCallbacks`."""
         cells = [
             (name, owner.epoch, load.pending, load.free_slots)
-            for name, owner in self._keeper.owned.items()
+            for name, owner in self._cell_manager.owned.items()
             for load in [owner.load()]
         ]
         return Heartbeat(
             self._config.state.version,
-            self._book.in_flight(),
+            self._target_registry.in_flight(),
             cells,
             self._authority.may_claim() and not self._drain.begun,
         )
 
     def note_heartbeat(self, process: str, heartbeat: Heartbeat) -> None:
-        """Takes in how full a peer's cells are; see `LoadBook`."""
-        self._peers.note_takes_over(process, heartbeat.takes_over)
+        """Stores the load of a peer's cells; see `HeartbeatObserver`."""
+        self._peers.set_may_claim(process, heartbeat.takes_over)
         self._loads[process] = {
             cell: CellLoad(pending, 0, free)
             for cell, _, pending, free in heartbeat.cells
         }
 
     def cell_loads(self) -> dict[str, CellLoad]:
-        """Returns the newest load known of each cell; see `Loads`."""
+        """Returns the newest known load per cell; see `CellLoadSource`."""
         loads: dict[str, CellLoad] = {}
-        for told in self._loads.values():
-            loads.update(told)
-        for name, owner in self._keeper.owned.items():
+        for peer_loads in self._loads.values():
+            loads.update(peer_loads)
+        for name, owner in self._cell_manager.owned.items():
             loads[name] = owner.load()
         return loads
 
     async def on_peer_connected(self, link: EntryLink) -> None:
-        """Tells a peer this one's targets; see `PeerCare`."""
-        await self._pushes.tell(link)
+        """Pushes this process's targets to a peer; see `PeerCallbacks`."""
+        await self._target_publisher.push_all_to(link)
 
     async def run_roles(self) -> None:
-        """Runs everything but the listeners, until cancelled."""
+        """Runs all components but the listeners until cancelled."""
         async with trio.open_nursery() as nursery:
             for fold in self._folds.values():
                 nursery.start_soon(fold.run)
@@ -308,27 +325,27 @@
                 )
             nursery.start_soon(self._vms.run)
             nursery.start_soon(self._peers.run)
-            nursery.start_soon(self._keeper.run)
+            nursery.start_soon(self._cell_manager.run)
             nursery.start_soon(self._forwarder.run)
-            nursery.start_soon(self._pushes.run)
-            nursery.start_soon(self._follow_vms)
+            nursery.start_soon(self._target_publisher.run)
+            nursery.start_soon(self._update_targets)
 
     async def wait_stop(self) -> None:
-        """Waits until the graceful stop is asked for."""
+        """Waits until the graceful stop is requested."""
         await self._stop_requested.wait()
 
     async def drain(self) -> int:
-        """Hands everything over and lets requests finish.
+        """Hands all cells over and lets requests in flight finish.
 
         Returns:
-            How many requests were still in flight when time ran out.
+            Number of requests still in flight at the drain timeout.
         """
         self._drain.begin()
-        await self._keeper.hand_over(const.CLAIM_TIMEOUT)
+        await self._cell_manager.hand_over(const.CLAIM_TIMEOUT)
         return await self._drain.finish(self._settings.drain_timeout)
 
     def _leave_worker(self, name: str) -> bool:
-        owners = list(self._keeper.owned.values())
+        owners = list(self._cell_manager.owned.values())
         return any(owner.leave(name) for owner in owners)
 
     def _make_writer_check(self, stream: str) -> Callable[[], bool]:
@@ -340,22 +357,22 @@
 
         return is_writer
 
-    async def _follow_vms(self) -> None:
+    async def _update_targets(self) -> None:
         while True:
-            self._book.set_leaving(
+            self._target_registry.set_leaving_workers(
                 vm.name
                 for vm in self._vms.vms
                 if vm.role is VmRole.WORKER and vm.state is VmState.LEAVING
             )
             live = self._peers.live()
-            self._book.keep_processes(
+            self._target_registry.retain_processes(
                 {link.identity.process for link in live if link.identity}
             )
             await trio.sleep(const.SYNC_INTERVAL)
 
 
 def new_process_id(name: str) -> str:
-    """Returns an id unique for ever: name, start in ms, random part."""
+    """Returns a unique process id: VM name, start in ms, random part."""
     started = int(time.time() * 1000)
     return f"{name}:{started:x}:{secrets.token_hex(4)}"
 
@@ -366,8 +383,8 @@
 ) -> AsyncIterator[Ports]:
     """Runs an entry process with its listeners; stops it gracefully.
 
-    The stop leaves the balancer first, hands the cells over, lets requests
-    in flight finish, and only then closes the listeners.
+    The stop first fails the load balancer's health checks, then hands the
+    cells over, lets requests in flight finish and closes the listeners.
     """
     stop = trio.Event()
     callers = HttpListener(
@@ -386,7 +403,7 @@
         )
         nursery.start_soon(node.run_roles)
         yield Ports(caller, operator, peers)
-        node.leave_balancer()
+        node.leave_load_balancer()
         await trio.sleep(settings.drain_notice)
         await node.drain()
         stop.set()
--- a/pimentocross/entry/operator_api.py
+++ b/pimentocross/entry/operator_api.py
@@ -1,4 +1,4 @@
-"""What operators ask of an entry VM, over HTTP with a token."""
+"""The HTTP API for operators, protected by a bearer token."""
 
 from collections.abc import Callable
 import hmac
@@ -49,12 +49,12 @@
 from pimentocross.observe.histograms import Histograms
 from pimentocross.observe.problems import not_run, unknown
 
-_ASK_TIMEOUT = 3.0
-_JOBS_DEFAULT = 100
+_PEER_TIMEOUT = 3.0
+_DEFAULT_JOB_LIMIT = 100
 
 
 class ApplyRequest(NamedTuple):
-    """A change of configuration; see `ConfigChanged`."""
+    """The body of a configuration change; see `ConfigChanged`."""
 
     base: int
     files: dict[str, str]
@@ -62,7 +62,10 @@
 
 
 class OperatorApi:
-    """The listener for operators."""
+    """The ASGI application that operators use.
+
+    Most replies combine the reports of all live entry VMs.
+    """
 
     def __init__(
         self,
@@ -74,7 +77,19 @@
         control_bytes: Callable[[], int],
         leave_worker: Callable[[str], bool],
     ) -> None:
-        """Takes the token that operators have to show."""
+        """Initializes the API.
+
+        Args:
+            token: The token that each request has to carry.
+            config: The configuration stream's fold.
+            peers: Links to the other entry VMs.
+            reports: Reports of this entry VM.
+            begin_drain: Requests the graceful stop of this process.
+            control_bytes: Returns the bytes exchanged with peers and the
+                platform.
+            leave_worker: Drains a worker of a cell owned here; returns False
+                if there is none of that name.
+        """
         self._expected = f"Bearer {token}".encode()
         self._config = config
         self._peers = peers
@@ -84,12 +99,12 @@
         self._leave_worker = leave_worker
 
     async def app(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answers one request: the ASGI entry point."""
+        """Serves one request; this is the ASGI entry point."""
         try:
             request = await read_request(
                 scope,
                 receive,
-                body_most=const.OPERATOR_BODY_MOST,
+                body_most=const.MAX_OPERATOR_BODY_BYTES,
                 timeout=const.REQUEST_BODY_TIMEOUT,
             )
         except RequestTooLargeError:
@@ -105,8 +120,8 @@
         await send_reply(send, reply)
 
     async def _answer(self, request: HttpRequest) -> HttpReply:
-        given = request.header(b"authorization").encode("latin-1")
-        if not hmac.compare_digest(given, self._expected):
+        authorization = request.header(b"authorization").encode("latin-1")
+        if not hmac.compare_digest(authorization, self._expected):
             detail = "the operator's token is missing or wrong"
             return not_run(401, "no-token", detail).reply()
         match request.method, request.path:
@@ -126,9 +141,9 @@
             case "GET", "/jobs":
                 return await self._jobs(request)
             case "GET", "/why":
-                return await self._why(request.query_value("subject"))
+                return await self._explain(request.query_value("subject"))
             case "GET", "/histograms":
-                return await self._summaries()
+                return await self._histogram_summaries()
             case "POST", "/drain":
                 return await self._drain(request.query_value("vm"))
         return not_run(404, "no-such-path", request.path).reply()
@@ -137,14 +152,14 @@
         try:
             fields = msgspec.json.decode(body, type=dict[str, Any])
             names = ApplyRequest._fields
-            wanted = msgspec.convert([fields[n] for n in names], ApplyRequest)
+            change = msgspec.convert([fields[n] for n in names], ApplyRequest)
         except (msgspec.MsgspecError, KeyError) as error:
             return not_run(400, "bad-change", f"not a change: {error}").reply()
-        findings = self._find(wanted)
+        findings = self._validate(change)
         if findings:
             reply = {"state": "not run", "findings": findings}
             return json_reply(reply, 422)
-        record = KINDS.encode(ConfigChanged(*wanted))
+        record = KINDS.encode(ConfigChanged(*change))
         began = trio.current_time()
         verdict = await self._config.publish(
             record, timeout=const.CONFIG_TIMEOUT, fail_fast=True
@@ -158,7 +173,7 @@
         if verdict.outcome is Outcome.UNKNOWN:
             return unknown(504, "not-confirmed", verdict.reason).reply()
         version = verdict.offset + 1
-        late = await self._wait_everywhere(version)
+        late = await self._wait_in_force(version)
         took = trio.current_time() - began
         return json_reply(
             {
@@ -169,15 +184,19 @@
             }
         )
 
-    def _find(self, wanted: ApplyRequest) -> list[str]:
-        files = {**self._config.state.files, **wanted.files}
-        for name in wanted.removed:
+    def _validate(self, change: ApplyRequest) -> list[str]:
+        files = {**self._config.state.files, **change.files}
+        for name in change.removed:
             files.pop(name, None)
         loaded = load_configuration(files)
         return [] if loaded.is_ok() else [str(f) for f in loaded.error]
 
-    async def _wait_everywhere(self, version: int) -> list[str]:
-        """Waits for all live entry VMs; returns those that are late."""
+    async def _wait_in_force(self, version: int) -> list[str]:
+        """Waits until a version is in force on all live entry VMs.
+
+        Returns:
+            Names of the VMs that did not confirm it in time.
+        """
         late: list[str] = []
 
         async def wait(link: EntryLink) -> None:
@@ -195,13 +214,13 @@
                 nursery.start_soon(wait, link)
         return sorted(late)
 
-    async def _ask_all(self, message: PeerMessage) -> list[PeerMessage]:
-        """Asks all live peers; those that do not answer are left out."""
+    async def _ask_live_peers(self, message: PeerMessage) -> list[PeerMessage]:
+        """Sends a request to all live peers; returns the replies received."""
         answers: list[PeerMessage] = []
 
         async def ask(link: EntryLink) -> None:
             try:
-                answers.append(await link.ask(message, _ASK_TIMEOUT))
+                answers.append(await link.ask(message, _PEER_TIMEOUT))
             except PeerUnreachableError:
                 return
 
@@ -211,7 +230,7 @@
         return answers
 
     async def _status(self) -> HttpReply:
-        answers = await self._ask_all(AskStatus())
+        answers = await self._ask_live_peers(AskStatus())
         found = [self._reports.status()]
         found += [a for a in answers if isinstance(a, StatusAnswer)]
         found.sort()
@@ -222,7 +241,7 @@
         return json_reply(body)
 
     async def _vms(self) -> HttpReply:
-        answers = await self._ask_all(AskVms())
+        answers = await self._ask_live_peers(AskVms())
         found = self._reports.vms()
         for answer in answers:
             if isinstance(answer, VmsAnswer):
@@ -230,37 +249,37 @@
         return json_reply([w._asdict() for w in sorted(found)])
 
     async def _jobs(self, request: HttpRequest) -> HttpReply:
-        text = request.query_value("most", str(_JOBS_DEFAULT))
-        most = int(text) if text.isdigit() else _JOBS_DEFAULT
-        answers = await self._ask_all(AskJobs(most))
-        found = self._reports.jobs(most)
+        text = request.query_value("most", str(_DEFAULT_JOB_LIMIT))
+        limit = int(text) if text.isdigit() else _DEFAULT_JOB_LIMIT
+        answers = await self._ask_live_peers(AskJobs(limit))
+        found = self._reports.jobs(limit)
         for answer in answers:
             if isinstance(answer, JobsAnswer):
                 found.extend(answer.jobs)
         return json_reply([job._asdict() for job in found])
 
-    async def _why(self, subject: str) -> HttpReply:
-        answers = await self._ask_all(AskWhy(subject))
-        reasons = self._reports.why(subject)
+    async def _explain(self, subject: str) -> HttpReply:
+        answers = await self._ask_live_peers(AskWhy(subject))
+        reasons = self._reports.explain(subject)
         for answer in answers:
             if isinstance(answer, WhyAnswer):
                 reasons.extend(answer.reasons)
         return json_reply({"subject": subject, "reasons": reasons})
 
-    async def _summaries(self) -> HttpReply:
+    async def _histogram_summaries(self) -> HttpReply:
         merged = Histograms()
         merged.add_encoded(self._reports.histograms())
-        for answer in await self._ask_all(AskHistograms()):
+        for answer in await self._ask_live_peers(AskHistograms()):
             if isinstance(answer, HistogramsAnswer):
                 merged.add_encoded(answer.histograms)
         return json_reply([s._asdict() for s in merged.summaries()])
 
     async def _drain(self, name: str) -> HttpReply:
-        if name == self._peers.mine.name:
+        if name == self._peers.local_identity.name:
             self._begin_drain()
             return json_reply({"vm": name, "state": "leaving"})
         known = self._leave_worker(name)
-        for answer in await self._ask_all(LeaveWorker(name)):
+        for answer in await self._ask_live_peers(LeaveWorker(name)):
             known |= isinstance(answer, Left) and answer.known
         if not known:
             detail = f"no live worker {name!r}; ask an entry VM itself to leave"
--- a/pimentocross/entry/ownership.py
+++ b/pimentocross/entry/ownership.py
@@ -1,4 +1,4 @@
-"""Which cells this process owns: claimed, run and handed over."""
+"""Claims, runs and hands over the cells that this process owns."""
 
 from collections.abc import Callable
 
@@ -19,8 +19,8 @@
 from pimentocross.zones.cell_state import CellState
 
 
-class CellKeeper:
-    """Claims cells whose owner is gone and runs those that it owns."""
+class CellManager:
+    """Claims cells whose owner is gone, and runs the cells owned here."""
 
     def __init__(
         self,
@@ -33,7 +33,18 @@
         retention: float,
         on_targets: Callable[[], None],
     ) -> None:
-        """Takes what an owner needs; `run` claims and acts."""
+        """Initializes without cells; `run` claims and runs them.
+
+        Args:
+            log: Holds the streams of the cells.
+            authority: This process's membership and ownership rules.
+            config: The configuration stream's fold.
+            peers: Links to the other entry VMs.
+            vms: The VM list.
+            dialer: Connects to workers.
+            retention: How long the log keeps records, in seconds.
+            on_targets: Called when the targets of a cell have changed.
+        """
         self._log = log
         self._authority = authority
         self._config = config
@@ -44,9 +55,9 @@
         self._on_targets = on_targets
         self._owned: dict[str, CellOwner] = {}
         self._handing_over = False
-        self._looked_at = 0.0
-        self._awake_since = 0.0
-        self._epochs: dict[str, tuple[int, float]] = {}
+        self._last_pass_at = 0.0
+        self._running_since = 0.0
+        self._epoch_seen_at: dict[str, tuple[int, float]] = {}
 
     @property
     def owned(self) -> dict[str, CellOwner]:
@@ -59,24 +70,24 @@
         return "" if ownership.released else ownership.process
 
     async def run(self) -> None:
-        """Claims and runs cells, for ever."""
+        """Claims and runs cells until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                self._note_awake()
-                for cell in self._cells():
+                self._detect_pause()
+                for cell in self._cell_names():
                     if self._authority.owns(cell_resource(cell)):
-                        self._begin(cell, nursery)
+                        self._start_owner(cell, nursery)
                     elif self._should_claim(cell):
                         await self._claim(cell)
                 await trio.sleep(const.CLAIM_INTERVAL)
 
     async def hand_over(self, timeout: float) -> None:
-        """Stops acting on all cells and releases them."""
+        """Stops running all cells and releases them."""
         self._handing_over = True
         owners = list(self._owned.values())
         for owner in owners:
             owner.stop()
-        # A started exchange ends before the release is appended.
+        # Exchanges that have started end before the release is appended.
         await trio.sleep(const.CLAIM_INTERVAL)
         with trio.move_on_after(timeout):
             async with trio.open_nursery() as nursery:
@@ -87,7 +98,7 @@
                         timeout,
                     )
 
-    def _cells(self) -> list[str]:
+    def _cell_names(self) -> list[str]:
         config = self._config.state.config
         return sorted(config.zones) if config is not None else []
 
@@ -95,9 +106,12 @@
         if self._handing_over or not self._authority.may_claim():
             return False
         owner = self.owner_of(cell)
-        if owner and (self._is_alive(owner) or not self._can_judge(cell)):
+        if owner and (
+            self._is_alive(owner) or not self._may_suspect_owner(cell)
+        ):
             return False
-        # Who has just released it is leaving, whether it has said so or not.
+        # A process that has just released the cell is stopping, even if its
+        # heartbeats do not say so yet.
         last = self._authority.fold.state.ownership(cell_resource(cell))
         candidates = [
             c for c in self._peers.candidates() if c.process != last.process
@@ -105,28 +119,29 @@
         ranked = rank_candidates(cell_resource(cell), cell, candidates)
         return bool(ranked) and ranked[0] == self._authority.process
 
-    def _note_awake(self) -> None:
-        """Notices a pause of this process: its peers have been unheard."""
+    def _detect_pause(self) -> None:
+        """Detects that this process was paused and so received nothing."""
         now = trio.current_time()
-        if now - self._looked_at > const.CLAIM_INTERVAL + const.PAUSE_LEAST:
-            self._awake_since = now
-        self._looked_at = now
+        if now - self._last_pass_at > const.CLAIM_INTERVAL + const.MIN_PAUSE:
+            self._running_since = now
+        self._last_pass_at = now
 
-    def _can_judge(self, cell: str) -> bool:
-        """True if silence of the owner means more than one's own trouble.
+    def _may_suspect_owner(self, cell: str) -> bool:
+        """Returns True if an owner that is silent may be taken for gone.
 
-        That takes a while awake, with the log answering, and under the
-        present owner; else a VM that wakes up would take over from owners
-        that it has not had the time to hear.
+        For `SUSPECT_AFTER`, this process must have run without a pause, the
+        log must have answered and the owner must have been the same.
+        Otherwise a VM that resumes after a pause would take over from owners
+        whose heartbeats it has not had the time to receive.
         """
         epoch = self._authority.epoch(cell_resource(cell))
         now = trio.current_time()
-        if self._epochs.get(cell, (0, 0.0))[0] != epoch:
-            self._epochs[cell] = (epoch, now)
+        if self._epoch_seen_at.get(cell, (0, 0.0))[0] != epoch:
+            self._epoch_seen_at[cell] = (epoch, now)
         since = max(
-            self._awake_since,
+            self._running_since,
             self._authority.fold.reads_answered_since,
-            self._epochs[cell][1],
+            self._epoch_seen_at[cell][1],
         )
         return now - since >= const.SUSPECT_AFTER
 
@@ -143,14 +158,14 @@
         if verdict.accepted:
             self._authority.note_claim_read(resource)
 
-    def _begin(self, cell: str, nursery: trio.Nursery) -> None:
+    def _start_owner(self, cell: str, nursery: trio.Nursery) -> None:
         epoch = self._authority.epoch(cell_resource(cell))
         current = self._owned.get(cell)
         if self._handing_over or (current and current.epoch == epoch):
             return
         if current is not None:
             current.stop()
-        # A claim of unknown outcome that was folded later counts from now.
+        # A claim whose outcome was unknown counts from when it is read.
         self._authority.note_claim_read(cell_resource(cell))
         fold = StreamFold(self._log, f"cell-{cell}", CellState())
         owner = CellOwner(
--- a/pimentocross/entry/reports.py
+++ b/pimentocross/entry/reports.py
@@ -1,4 +1,4 @@
-"""What this entry VM knows, put together for operators."""
+"""Builds the reports of one entry VM for operators."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 from pimentocross.contracts.drain import Drain
 from pimentocross.contracts.fold import StreamFold
 from pimentocross.entry.membership import Peers
-from pimentocross.entry.ownership import CellKeeper
+from pimentocross.entry.ownership import CellManager
 from pimentocross.links.messages import (
     CellStatus,
     JobStatus,
@@ -22,40 +22,50 @@
 
 
 class Reports:
-    """Reports of one entry VM."""
+    """Builds reports on this entry VM and the cells that it owns."""
 
     def __init__(
         self,
         authority: Authority,
         config: StreamFold[ConfigState],
         peers: Peers,
-        keeper: CellKeeper,
+        cell_manager: CellManager,
         histograms: Histograms,
         drain: Drain,
         is_log_away: Callable[[], bool],
     ) -> None:
-        """Takes what the reports come from."""
+        """Initializes the reports.
+
+        Args:
+            authority: This process's membership and ownership rules.
+            config: The configuration stream's fold.
+            peers: Links to the other entry VMs.
+            cell_manager: Runs the cells that this process owns.
+            histograms: Latencies of requests to this process.
+            drain: Counts requests in flight.
+            is_log_away: Returns True while the log is unavailable.
+        """
         self._authority = authority
         self._config = config
         self._peers = peers
-        self._keeper = keeper
+        self._cell_manager = cell_manager
         self._histograms = histograms
         self._drain = drain
         self._is_log_away = is_log_away
 
     def status(self) -> StatusAnswer:
-        """Returns what this entry VM does."""
+        """Returns the status of this entry VM and its cells."""
         confirmed_at = self._authority.confirmed_at
         age = None
         if confirmed_at != NEVER:
             age = trio.current_time() - confirmed_at
         live = self._peers.live()
         names = sorted(link.identity.name for link in live if link.identity)
-        mine = self._peers.mine
+        local_identity = self._peers.local_identity
         return StatusAnswer(
-            mine.name,
-            mine.process,
-            mine.zone,
+            local_identity.name,
+            local_identity.process,
+            local_identity.zone,
             self._config.state.version,
             self._drain.begun,
             self._is_log_away(),
@@ -73,8 +83,8 @@
             for worker in owner.workers.values()
         ]
 
-    def jobs(self, most: int) -> list[JobStatus]:
-        """Returns the newest jobs of the cells owned here."""
+    def jobs(self, limit: int) -> list[JobStatus]:
+        """Returns up to `limit` jobs of the cells owned here."""
         found = [
             JobStatus(
                 name,
@@ -87,13 +97,13 @@
             for owner in self._owners()
             for name, job in owner.fold.state.jobs.items()
         ]
-        return found[-most:]
+        return found[-limit:]
 
-    def why(self, subject: str) -> list[str]:
-        """Returns the deciding reasons of a job, task or worker."""
+    def explain(self, subject: str) -> list[str]:
+        """Returns lines that explain the state of a job, task or worker."""
         reasons: list[str] = []
         for owner in self._owners():
-            reasons.extend(_why(owner, subject))
+            reasons.extend(_explain(owner, subject))
         return reasons
 
     def histograms(self) -> list[tuple[str, str, bytes]]:
@@ -101,7 +111,7 @@
         return self._histograms.encoded()
 
     def _owners(self) -> list[CellOwner]:
-        owned = self._keeper.owned
+        owned = self._cell_manager.owned
         return [owned[name] for name in sorted(owned)]
 
 
@@ -132,7 +142,7 @@
     )
 
 
-def _why(owner: CellOwner, subject: str) -> list[str]:
+def _explain(owner: CellOwner, subject: str) -> list[str]:
     lines = [
         f"task {t.task}: {t.phase.value}: {t.reason}"
         for t in owner.tasks.values()
@@ -145,11 +155,11 @@
         lines.insert(0, f"job {subject}: {job.state}, {done}{reason}")
     worker = owner.workers.get(subject)
     if worker is not None:
-        lines.insert(0, _why_worker(owner, worker))
+        lines.insert(0, _explain_worker(owner, worker))
     return lines
 
 
-def _why_worker(owner: CellOwner, worker: Worker) -> str:
+def _explain_worker(owner: CellOwner, worker: Worker) -> str:
     if worker.leaving:
         state = "leaving, gets nothing new"
     elif worker.met:
@@ -158,8 +168,8 @@
         state = "silent"
     else:
         state = f"not met since epoch {owner.epoch}"
-    held_against = owner.explain_worker(worker.name)
-    if held_against:
-        state = f"{state}, {held_against}"
+    health_reason = owner.explain_worker(worker.name)
+    if health_reason:
+        state = f"{state}, {health_reason}"
     tasks = ", ".join(sorted(worker.commitments.tasks)) or "nothing"
     return f"worker {worker.name}: {state}; holds {tasks}"
--- a/pimentocross/entry/settings.py
+++ b/pimentocross/entry/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one entry process, from flags and environment variables."""
+"""Settings of an entry process, from flags and environment variables."""
 
 from typing import NamedTuple
 
@@ -7,21 +7,23 @@
 
 
 class EntrySettings(NamedTuple):
-    """Where an entry process stands and what it talks to.
+    """Settings of an entry process.
 
     Attributes:
-        name: Its VM's name.
-        zone: Its availability zone.
-        host: IP number that the listeners bind and peers dial.
+        name: Name of the VM.
+        zone: Availability zone of the VM.
+        host: IP address that the listeners bind and that peers dial.
         caller_port: Port for callers, 0 for any free one.
         operator_port: Port for operators.
         peer_port: Port for peers.
         credentials: Cluster name and keys of the peer greeting.
-        operator_token: What operators have to show.
-        timing: Durations of the ownership rules.
+        operator_token: Token that operators' requests have to carry.
+        timing: Durations of the ownership rules, such as the lease.
         retention: How long the log service keeps records, in seconds.
-        drain_notice: Seconds between leaving the balancer and the drain.
-        drain_timeout: Longest time for requests in flight to finish.
+        drain_notice: Seconds between failing the load balancer's health
+            checks and the drain.
+        drain_timeout: Longest time for requests in flight to finish, in
+            seconds.
     """
 
     name: str
--- a/pimentocross/entry/snapshots.py
+++ b/pimentocross/entry/snapshots.py
@@ -1,4 +1,4 @@
-"""Writes snapshots of streams well before their records expire."""
+"""Writes snapshots of streams long before their records expire."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,8 +9,8 @@
 from pimentocross.contracts.fold import StreamFold
 from pimentocross.entry import const
 
-# A snapshot is renewed after this share of the retention.
-_RENEW_SHARE = 0.25
+# A new snapshot is due after this share of the retention.
+_RENEW_AFTER_SHARE = 0.25
 
 
 async def write_snapshots(
@@ -18,22 +18,22 @@
     retention: float,
     is_writer: Callable[[], bool],
 ) -> None:
-    """Keeps a fresh snapshot in the stream, for ever.
+    """Writes a snapshot of a stream whenever one is due, until cancelled.
 
     Args:
         fold: The stream's fold.
         retention: How long the log keeps records, in seconds.
-        is_writer: Whether this process should write now.
+        is_writer: Returns True if this process should write now.
     """
     renewed_at = trio.current_time()
-    seen = fold.snapshots_read
+    last_count = fold.snapshots_read
     while True:
-        await trio.sleep(const.SNAPSHOT_CHECK)
-        if fold.snapshots_read != seen:
-            seen = fold.snapshots_read
+        await trio.sleep(const.SNAPSHOT_CHECK_INTERVAL)
+        if fold.snapshots_read != last_count:
+            last_count = fold.snapshots_read
             renewed_at = trio.current_time()
         age = trio.current_time() - renewed_at
-        due = age >= retention * _RENEW_SHARE and fold.position > 0
+        due = age >= retention * _RENEW_AFTER_SHARE and fold.position > 0
         due = due or fold.offsets_since_snapshot >= const.SNAPSHOT_RECORDS
         if due and fold.ready and is_writer():
             await _write(fold)
@@ -43,5 +43,5 @@
     try:
         await fold.append_snapshot()
     except LogUnavailableError:
-        # The next check tries again; twice the same snapshot is harmless.
+        # The next check tries again; a duplicate snapshot is harmless.
         return
--- a/pimentocross/links/target.py
+++ b/pimentocross/links/target.py
@@ -3,7 +3,7 @@
 import trio
 
 from pimentocross.contracts.limit import AdaptiveLimit
-from pimentocross.entry.const import EJECT_FAILURES, EJECT_FOR
+from pimentocross.entry.const import EJECT_AFTER_FAILURES, EJECT_DURATION
 from pimentocross.links import const
 from pimentocross.links.asgi import Headers, HttpReply, HttpRequest
 from pimentocross.links.target_connection import (
@@ -130,10 +130,10 @@
         """Counts a failure; after several in a row it is ejected."""
         self._failures += 1
         self._limit.note_failure()
-        if self._failures >= EJECT_FAILURES:
+        if self._failures >= EJECT_AFTER_FAILURES:
             # Once back, a single failure ejects it again.
-            self._failures = EJECT_FAILURES - 1
-            self._ejected_until = trio.current_time() + EJECT_FOR
+            self._failures = EJECT_AFTER_FAILURES - 1
+            self._ejected_until = trio.current_time() + EJECT_DURATION
 
     async def aclose(self) -> None:
         """Closes the kept connections."""
--- a/pimentocross/standins/dev.py
+++ b/pimentocross/standins/dev.py
@@ -212,16 +212,16 @@
 
 
 def _list_entry(vms: VmListStandin, node: EntryNode) -> None:
-    mine = node.peers.mine
+    local_identity = node.peers.local_identity
     vms.put(
         Vm(
-            mine.name,
+            local_identity.name,
             VmRole.ENTRY,
-            mine.address,
-            mine.zone,
+            local_identity.address,
+            local_identity.zone,
             "rack-0",
             VmState.LIVE,
-            mine.process,
+            local_identity.process,
         )
     )
 
@@ -237,7 +237,7 @@
     """Waits until every entry VM knows a target of every service."""
     with trio.move_on_after(_SETTLE):
         while not all(
-            entry.book.is_known(service)
+            entry.target_registry.is_known(service)
             for entry in cluster.entries
             for service in cluster.config.services
         ):
--- a/tests/fixtures.py
+++ b/tests/fixtures.py
@@ -1,4 +1,4 @@
-"""Fixtures that the tests share: a whole cluster in virtual time."""
+"""Shared test fixtures: a whole cluster in one process and virtual time."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable, Sequence
 from contextlib import asynccontextmanager
@@ -64,45 +64,50 @@
 
 
 def configuration(files: dict[str, str] | None = None) -> Configuration:
-    """Returns the tests' configuration, checked."""
+    """Returns the parsed test configuration; fails if it is invalid."""
     loaded = load_configuration(files or FILES)
     assert loaded.is_ok(), loaded.error
     return loaded.ok
 
 
 class Entry:
-    """An entry VM of the cluster."""
+    """An entry VM of the test cluster."""
 
     def __init__(self, node: EntryNode, gate: Gate) -> None:
-        """Takes its process and its gate; `run` runs it."""
+        """Initializes a stopped entry VM; `run` runs its process.
+
+        Args:
+            node: The entry VM's process.
+            gate: Injects faults into its connections.
+        """
         self.node = node
         self.gate = gate
         self._nursery: trio.Nursery | None = None
 
     @property
     def name(self) -> str:
-        """Its name."""
-        return self.node.peers.mine.name
+        """Name of the VM."""
+        return self.node.peers.local_identity.name
 
     @property
     def address(self) -> str:
-        """Its peer address."""
-        return self.node.peers.mine.address
+        """Address of its peer listener."""
+        return self.node.peers.local_identity.address
 
     async def run(self) -> None:
-        """Runs its roles and its peer listener, until killed."""
+        """Runs its components and its peer listener until killed."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             nursery.start_soon(self.node.run_roles)
 
     def kill(self) -> None:
-        """Ends it without a word."""
+        """Kills the process without a graceful stop."""
         if self._nursery is not None:
             self._nursery.cancel_scope.cancel()
             self._nursery = None
 
     def accept(self, stream: trio.abc.Stream) -> None:
-        """Takes a connection of a peer."""
+        """Serves a connection of a peer."""
         if self._nursery is None:
             raise OSError("no listener")
         self._nursery.start_soon(
@@ -119,7 +124,7 @@
         files: dict[str, str],
         retention: float = 100_000.0,
     ) -> None:
-        """Starts with the platform only."""
+        """Initializes a cluster with the platform only."""
         self.log = LogStandin(retention=retention, seed=1)
         self._retention = retention
         self.vms = VmListStandin()
@@ -131,16 +136,16 @@
         self.config = configuration(files)
         self._files = files
         self._nursery = nursery
-        self._started = 0
+        self._entries_started = 0
         self._worker_scopes: dict[str, trio.CancelScope] = {}
 
     @property
     def nodes(self) -> list[EntryNode]:
-        """Nodes of the live entry VMs."""
+        """Processes of the live entry VMs."""
         return [entry.node for entry in self.entries.values()]
 
     def add_worker(self, name: str, zone: str) -> WorkerStandin:
-        """Starts a worker, or a new process in an old one's place."""
+        """Starts a worker; it replaces an earlier one of the same name."""
         shape = WorkerShape(name, zone, self.config.workers.resources)
         worker = WorkerStandin(shape, self.journal)
         worker.service_address = f"{name}:1"
@@ -160,7 +165,7 @@
         return worker
 
     def kill_worker(self, name: str) -> None:
-        """Ends a worker without a word; the VM list does not know yet."""
+        """Kills a worker; the VM list still has it."""
         worker = self.workers.pop(name)
         del self.dialer.workers[name]
         self._worker_scopes.pop(name).cancel()
@@ -169,7 +174,7 @@
     def add_entry(
         self, name: str, zone: str, *, keys: Sequence[bytes] = (b"key",)
     ) -> Entry:
-        """Starts an entry VM's process, or a new one in an old one's place."""
+        """Starts an entry VM; it replaces an earlier one of the same name."""
         settings = EntrySettings(
             name,
             zone,
@@ -188,9 +193,10 @@
             self.vms,
             GatedDialer(self.dialer, gate),
         )
-        # Process ids carry the start time; virtual time has none, so count.
-        self._started += 1
-        process = f"{name}:{self._started:x}:id"
+        # Process ids contain the start time, which virtual time does not
+        # have, so a counter stands for it.
+        self._entries_started += 1
+        process = f"{name}:{self._entries_started:x}:id"
         node = EntryNode(
             settings, platform, dial=self._make_dial(name), process=process
         )
@@ -211,25 +217,25 @@
         return entry
 
     def kill_entry(self, name: str) -> None:
-        """Ends an entry VM's process without a word."""
+        """Kills an entry VM's process without a graceful stop."""
         entry = self.entries.pop(name)
         entry.kill()
         self.killed_at[entry.node.process] = trio.current_time()
 
     def cut(self, name: str, other: str) -> None:
-        """Cuts an entry VM off from the log, a worker or another one."""
+        """Disconnects an entry VM from the log, a worker or another one."""
         self.entries[name].gate.cut.add(other)
         if other in self.entries:
             self.entries[other].gate.cut.add(name)
 
-    def mend(self, name: str) -> None:
-        """Mends all that an entry VM was cut off from."""
+    def reconnect(self, name: str) -> None:
+        """Restores all connections of an entry VM after `cut`."""
         self.entries[name].gate.cut.clear()
         for entry in self.entries.values():
             entry.gate.cut.discard(name)
 
     async def apply(self, files: dict[str, str], base: int = 0) -> Verdict:
-        """Publishes files through any entry VM."""
+        """Publishes configuration files through an entry VM."""
         record = KINDS.encode(ConfigChanged(base, files, []))
         return await self.nodes[0].config.publish(record, timeout=10.0)
 
@@ -243,7 +249,7 @@
         return None
 
     async def wait_owner(self, cell: str) -> EntryNode:
-        """Waits until some entry VM runs a cell."""
+        """Waits until an entry VM runs a cell, and returns the VM."""
         await wait_for(lambda: self.owner(cell) is not None)
         node = self.owner(cell)
         assert node is not None
@@ -252,7 +258,7 @@
     async def submit(
         self, cell: str, job: str, seconds: float = 5.0, timeout: float = 10.0
     ) -> Verdict:
-        """Submits a job to the owner of a cell."""
+        """Submits a job of one task to the owner of a cell."""
         node = await self.wait_owner(cell)
         return await node.owned[cell].accept(
             f"{cell}.{job}",
@@ -264,22 +270,22 @@
         )
 
     def job_state(self, job: str) -> str:
-        """Returns a job's state as its cell's owner tells."""
+        """Returns a job's state at the owner of its cell, or "" for none."""
         cell = job.partition(".")[0]
         node = self.owner(cell)
         found = node.owned[cell].fold.state.jobs.get(job) if node else None
         return found.state if found is not None else ""
 
     def runs(self) -> list[Run]:
-        """Returns all tries of tasks on workers."""
+        """Returns all runs of tasks on workers."""
         return read_runs(self.journal.entries, self.killed_at)
 
     def check(self) -> None:
-        """Checks what must hold at every moment."""
-        broken = find_two_places(self.runs())
+        """Checks the invariants over the whole history of runs."""
+        violations = find_two_places(self.runs())
         capacity = self.config.workers.resources
-        broken += find_over_commit(self.journal.entries, capacity)
-        assert not broken, broken
+        violations += find_over_commit(self.journal.entries, capacity)
+        assert not violations, violations
 
     def _make_dial(self, name: str) -> StreamDialer:
         async def dial(address: str) -> trio.abc.Stream:
@@ -320,13 +326,13 @@
     log_faults: FaultPlan | None = None,
     retention: float = 100_000.0,
 ) -> AsyncIterator[Cluster]:
-    """Runs a cluster with its configuration in force; checks it at the end.
+    """Runs a configured cluster and checks its invariants at the end.
 
     Args:
-        entries: Entry VMs, spread over the zones.
-        workers: Workers in each zone.
-        files: Its configuration.
-        log_faults: What the log shows from the start.
+        entries: Number of entry VMs, spread over the zones.
+        workers: Number of workers in each zone.
+        files: Configuration files, by name.
+        log_faults: Faults of the log service from the start.
         retention: How long the log keeps records, in seconds.
     """
     async with trio.open_nursery() as nursery:
--- a/tests/random_faults.py
+++ b/tests/random_faults.py
@@ -118,7 +118,7 @@
             return
         name = self._draw.choice(sorted(self._cluster.entries))
         entry = self._cluster.entries[name]
-        self._down[name] = entry.node.peers.mine.zone
+        self._down[name] = entry.node.peers.local_identity.zone
         self._cluster.kill_entry(name)
         self._paused.discard(name)
 
@@ -148,7 +148,7 @@
 
     def _mend_links(self) -> None:
         for name in list(self._cluster.entries):
-            self._cluster.mend(name)
+            self._cluster.reconnect(name)
 
     def _mend_all(self) -> None:
         self._cluster.log.faults.plan = FaultPlan()
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -1,4 +1,4 @@
-"""A whole cluster in virtual time, attacked fault by fault."""
+"""Tests a whole cluster in virtual time with one kind of fault each."""
 
 import trio
 
@@ -31,10 +31,10 @@
         assert (await cluster.submit("north", "a", seconds=60.0)).accepted
         await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
         first = await cluster.wait_owner("north")
-        cluster.kill_entry(first.peers.mine.name)
+        cluster.kill_entry(first.peers.local_identity.name)
         await wait_for(lambda: cluster.job_state("north.a") == "finished")
         runs = [r for r in cluster.runs() if r.task == "north.a/0"]
-        # The worker was reachable, so its task was adopted, not run again.
+        # The worker was reachable, so the new owner adopted its running task.
         assert len(runs) == 1
 
 
@@ -57,9 +57,9 @@
         await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
         run = next(r for r in cluster.runs() if r.task == "north.a/0")
         owner = await cluster.wait_owner("north")
-        cluster.cut(owner.peers.mine.name, run.machine)
-        cluster.kill_entry(owner.peers.mine.name)
-        # The worker runs on under its lease, unseen by everyone.
+        cluster.cut(owner.peers.local_identity.name, run.machine)
+        cluster.kill_entry(owner.peers.local_identity.name)
+        # The worker goes on until its lease ends, but no VM can reach it.
         for entry in cluster.entries.values():
             entry.gate.cut.add(run.machine)
         await wait_for(lambda: cluster.job_state("north.a") == "finished")
@@ -69,7 +69,7 @@
 async def test_paused_owner_wakes_after_it_was_superseded() -> None:
     async with open_cluster() as cluster:
         owner = await cluster.wait_owner("north")
-        name = owner.peers.mine.name
+        name = owner.peers.local_identity.name
         assert (await cluster.submit("north", "a", seconds=40.0)).accepted
         await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
         cluster.entries[name].gate.pause()
@@ -90,7 +90,7 @@
         verdict = await cluster.submit("north", "b", timeout=3.0)
         assert verdict.outcome is Outcome.NOT_SENT
         await trio.sleep(30)
-        # Far longer than confidence and lease: nothing lapsed meanwhile.
+        # This is far longer than confidence and lease, and nothing expired.
         assert _running(cluster, TaskKind.WATCH) == 2
         assert cluster.job_state("north.a") == "accepted"
         cluster.log.faults.plan = FaultPlan()
@@ -103,8 +103,8 @@
 async def test_only_the_owner_is_cut_off_from_the_log() -> None:
     async with open_cluster() as cluster:
         owner = await cluster.wait_owner("north")
-        cluster.cut(owner.peers.mine.name, "log")
-        # Its peers tell it what the log holds, so it stays confirmed.
+        cluster.cut(owner.peers.local_identity.name, "log")
+        # Its peers send it the records of the log, so it stays confirmed.
         await trio.sleep(40)
         assert cluster.owner("north") is owner
 
@@ -114,14 +114,14 @@
         assert (await cluster.submit("north", "a", seconds=90.0)).accepted
         await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
         owner = await cluster.wait_owner("north")
-        name = owner.peers.mine.name
+        name = owner.peers.local_identity.name
         for other in [*cluster.entries, "log"]:
             if other != name:
                 cluster.cut(name, other)
         await wait_for(lambda: cluster.owner("north") not in (None, owner))
         await trio.sleep(TIMING.confidence + 1)
         assert not owner.authority.may_act("cell:north")
-        cluster.mend(name)
+        cluster.reconnect(name)
         await wait_for(lambda: cluster.job_state("north.a") == "finished")
         assert finished_tasks(cluster.runs())["north.a/0"] == 1
 
@@ -168,7 +168,7 @@
         await wait_for(lambda: cluster.job_state("north.a") == "finished")
         runs = [r for r in cluster.runs() if r.task == "north.a/0"]
         assert len(runs) == 2
-        # It went on from its checkpoint: about 15 s were left.
+        # It resumed from its checkpoint with about 15 s remaining.
         assert runs[1].ended - runs[1].started < 20
         await trio.sleep(20)
         assert not worker.running
@@ -181,7 +181,7 @@
         owner = await cluster.wait_owner("north")
         began = trio.current_time()
         await owner.drain()
-        cluster.kill_entry(owner.peers.mine.name)
+        cluster.kill_entry(owner.peers.local_identity.name)
         await cluster.wait_owner("north")
         assert trio.current_time() - began < 3
         await wait_for(lambda: cluster.job_state("north.a") == "finished")
@@ -234,7 +234,8 @@
         await wait_for(lambda: _running(cluster, TaskKind.SERVICE) == 2)
         await wait_for(
             lambda: all(
-                len(n.book.services()["stock"]) == 2 for n in cluster.nodes
+                len(n.target_registry.services()["stock"]) == 2
+                for n in cluster.nodes
             )
         )
         worker = next(
@@ -248,11 +249,11 @@
             lambda: all(
                 t.worker != worker.shape.name
                 for n in cluster.nodes
-                for t in n.book.services()["stock"]
+                for t in n.target_registry.services()["stock"]
             )
         )
         assert trio.current_time() - began < 5
-        # Requests in flight have their time before the replica goes.
+        # Requests in flight can finish before the replica is stopped.
         assert worker.service.running == {"stock"}
         await wait_for(lambda: not worker.service.running)
         await wait_for(lambda: _running(cluster, TaskKind.SERVICE) == 2)
@@ -270,8 +271,8 @@
         await wait_for(
             lambda: all(cluster.job_state(j) == "finished" for j in jobs)
         )
-        tries = [r for r in cluster.runs() if r.machine == "north-w0"]
-        assert sum(r.kind == "batch" for r in tries) <= 5
+        runs_on_broken = [r for r in cluster.runs() if r.machine == "north-w0"]
+        assert sum(r.kind == "batch" for r in runs_on_broken) <= 5
 
 
 async def test_job_that_can_never_run_ends_with_its_reason() -> None:
@@ -291,7 +292,7 @@
         assert len({r.machine for r in runs}) == len(runs) == 3
         job = node.owned["north"].fold.state.jobs["north.bad"]
         assert job.reason == "no such region"
-        # It is the job's fault: no worker is held to account.
+        # The failure is the job's fault, so no worker is quarantined.
         assert all(
             not node.owned["north"].explain_worker(r.machine) for r in runs
         )
@@ -322,7 +323,7 @@
 async def test_tasks_that_use_more_than_declared_get_more_room() -> None:
     async with open_cluster() as cluster:
         await cluster.wait_owner("north")
-        # Declared 2 processors and 5 s; they use 3 and take a minute.
+        # Tasks declare 2 processors and 5 s but use 3 and run for a minute.
         for worker in cluster.workers.values():
             worker.usage_factor = 1.5
         assert (await cluster.submit("north", "first", 60.0)).accepted
@@ -357,7 +358,7 @@
         cluster.log.faults.plan = FaultPlan(away=True)
         await wait_for(lambda: finished_tasks(cluster.runs())["north.a/0"] == 1)
         owner = await cluster.wait_owner("north")
-        cluster.kill_entry(owner.peers.mine.name)
+        cluster.kill_entry(owner.peers.local_identity.name)
         await trio.sleep(5)
         cluster.log.faults.plan = FaultPlan()
         await wait_for(lambda: cluster.job_state("north.a") == "finished")
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Callers, operators and workers over real HTTP on the loopback."""
+"""Tests the HTTP APIs of callers, operators and workers over loopback."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
@@ -31,13 +31,13 @@
 
 
 def real_time(function: Callable[[], Any]) -> Callable[[], Any]:
-    """Marks a test that runs on the machine's clock: it uses real sockets."""
+    """Marks a test that uses the real clock, because it uses real sockets."""
     function.real_time = True  # type: ignore[attr-defined]
     return function
 
 
 class Reply(NamedTuple):
-    """Status, headers and decoded body."""
+    """Status, headers and decoded body of an HTTP reply."""
 
     status: int
     headers: dict[bytes, bytes]
@@ -45,10 +45,10 @@
 
 
 class Client:
-    """Asks the entry VMs of a cluster."""
+    """HTTP client for the entry VMs of a cluster."""
 
     def __init__(self, cluster: DevCluster) -> None:
-        """Takes the cluster."""
+        """Initializes the client with the cluster to send requests to."""
         self._cluster = cluster
         self._pool = httpcore.AsyncConnectionPool(max_connections=100)
 
@@ -62,7 +62,7 @@
         content: bytes = b"",
         operator: bool = False,
     ) -> Reply:
-        """Sends a request to one entry VM's listener."""
+        """Sends a request to the caller or operator API of one entry VM."""
         ports = self._cluster.ports[entry]
         port = ports.operator if operator else ports.caller
         reply = await self._pool.request(
@@ -80,10 +80,10 @@
 
 @asynccontextmanager
 async def open_served(
-    more: str = "",
+    extra_config: str = "",
 ) -> AsyncIterator[tuple[DevCluster, Client]]:
-    """Runs a small cluster whose services answer, on real sockets."""
-    files = {**FILES, "20.yaml": more} if more else FILES
+    """Runs a small cluster on real sockets and waits for its services."""
+    files = {**FILES, "20.yaml": extra_config} if extra_config else FILES
     async with open_dev_cluster(configuration(files)) as cluster:
         await apply_files(cluster, files)
         await wait_services(cluster)
@@ -132,13 +132,16 @@
         assert [r.status for r in replies] == [200] * 5
         assert len({str(r.body) for r in replies}) == 1
         assert _served(cluster, "k1") == 1
-        other = await client.ask(
+        reused_key_reply = await client.ask(
             "POST",
             "/services/stock/order",
             headers={"Idempotency-Key": "k1"},
             content=b"13 kites",
         )
-        assert (other.status, other.body["reason"]) == (422, "key-reused")
+        assert (reused_key_reply.status, reused_key_reply.body["reason"]) == (
+            422,
+            "key-reused",
+        )
 
 
 @real_time
@@ -182,7 +185,7 @@
             assert (reply.status, reply.body["state"]) == (503, "not run")
             assert int(reply.headers[b"retry-after"]) >= 1
         assert reply.headers[b"content-type"] == b"application/problem+json"
-        # What needs no log goes on.
+        # Requests that need no log are still served.
         assert (await client.ask("GET", "/services/stock/x")).status == 200
         assert _served(cluster, "k3") == 0
         cluster.log.faults.plan = FaultPlan()
@@ -298,16 +301,17 @@
             headers = {"Pimentocross-Timeout": "3"}
             reply = await client.ask("GET", "/services/stock/", headers=headers)
             assert reply.status == 200
-        # Left alone after a few late answers, so it delays only those.
+        # The target is ejected after a few late replies, so that it delays
+        # only those requests.
         assert trio.current_time() - began < 10
         order = {"Pimentocross-Timeout": "0.3"}
         states = set()
         for _ in range(12):
             reply = await client.ask("POST", "/services/stock/o", headers=order)
             states.add(reply.status)
-        # An order that may have arrived is never said not to have run.
+        # A request that may have arrived is never reported as not run.
         assert states <= {200, 504}
-        links = cluster.entries[0].book.links.values()
+        links = cluster.entries[0].target_registry.links.values()
         assert sum(link.silences for link in links) > 0
 
 
@@ -315,8 +319,8 @@
 async def test_sudden_load_is_refused_early_and_nothing_is_lost() -> None:
     async with open_served("limits: {queue: 8}\n") as (cluster, client):
         for worker in cluster.workers:
-            # Long against the time that 60 callers need to ask, also beside
-            # other load: with 0.2 s a second round began and 24 were answered.
+            # Much longer than 60 callers need to send, also on a busy machine:
+            # with 0.2 s the targets began another round and served 24.
             worker.service.faults.plan = FaultPlan(delay=0.6)
         replies: list[Reply] = []
 
@@ -336,11 +340,11 @@
         answered = [r for r in replies if r.status == 200]
         refused = [r for r in replies if r.status == 503]
         assert len(answered) + len(refused) == 60
-        # Two targets run four requests each, eight more wait.
+        # Two targets serve four requests each, and eight more are queued.
         assert 8 <= len(answered) <= 16 + 4, len(answered)
         assert {r.body["state"] for r in refused} == {"not run"}
         assert {r.body["reason"] for r in refused} == {"queue-full"}
-        # Three rounds, and 1.4 s.
+        # Three rounds of 0.6 s, and 1.4 s for everything else.
         assert trio.current_time() - began < 3.2
         served = [e for e in cluster.journal.entries if e.kind == "request"]
         assert len(served) == len(answered)
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Dumped states come back the same, also over JSON, and across retention."""
+"""Tests that states survive dumps as JSON and the expiry of log records."""
 
 from typing import Any
 
@@ -61,7 +61,7 @@
         first = cluster.log.records("cell-north")[0].offset
         assert first > 0
         owner = await cluster.wait_owner("north")
-        cluster.kill_entry(owner.peers.mine.name)
+        cluster.kill_entry(owner.peers.local_identity.name)
         fresh = cluster.add_entry("e7", "north")
         await cluster.wait_owner("north")
         assert cluster.job_state("north.b") == "finished"
