--- a/pimentocross/entry/ownership.py
+++ b/pimentocross/entry/ownership.py
@@ -35,15 +35,8 @@
     ) -> None:
         """Initializes without cells; `run` claims and runs them.
 
-        Args:
-            log: Holds the streams of the cells.
-            authority: This process's membership and ownership rules.
-            config: The configuration stream's fold.
-            peers: Links to the other entry VMs.
-            vms: The VM list.
-            dialer: Connects to workers.
-            retention: How long the log keeps records, in seconds.
-            on_targets: Called when the targets of a cell have changed.
+        `retention` is how long the log keeps records, in seconds. The
+        callback is called when the targets of a cell have changed.
         """
         self._log = log
         self._authority = authority
@@ -127,7 +120,7 @@
         self._last_pass_at = now
 
     def _may_suspect_owner(self, cell: str) -> bool:
-        """Returns True if an owner that is silent may be taken for gone.
+        """Returns True if an owner without a live link may be considered gone.
 
         For `SUSPECT_AFTER`, this process must have run without a pause, the
         log must have answered and the owner must have been the same.
--- a/pimentocross/entry/reports.py
+++ b/pimentocross/entry/reports.py
@@ -84,7 +84,7 @@
         ]
 
     def jobs(self, limit: int) -> list[JobStatus]:
-        """Returns up to `limit` jobs of the cells owned here."""
+        """Returns the newest jobs of the cells owned here, at most `limit`."""
         found = [
             JobStatus(
                 name,
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -9,7 +9,7 @@
 from tests.fixtures import FILES, TIMING, Cluster, open_cluster, wait_for
 
 
-def _running(cluster: Cluster, kind: TaskKind) -> int:
+def _count_running(cluster: Cluster, kind: TaskKind) -> int:
     return sum(
         spec.kind is kind
         for worker in cluster.workers.values()
@@ -19,8 +19,8 @@
 
 async def test_services_watches_and_jobs_run() -> None:
     async with open_cluster() as cluster:
-        await wait_for(lambda: _running(cluster, TaskKind.SERVICE) == 2)
-        await wait_for(lambda: _running(cluster, TaskKind.WATCH) == 2)
+        await wait_for(lambda: _count_running(cluster, TaskKind.SERVICE) == 2)
+        await wait_for(lambda: _count_running(cluster, TaskKind.WATCH) == 2)
         assert (await cluster.submit("north", "a")).accepted
         await wait_for(lambda: cluster.job_state("north.a") == "finished")
         assert finished_tasks(cluster.runs())["north.a/0"] == 1
@@ -29,7 +29,7 @@
 async def test_job_survives_the_death_of_its_cells_owner() -> None:
     async with open_cluster() as cluster:
         assert (await cluster.submit("north", "a", seconds=60.0)).accepted
-        await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
+        await wait_for(lambda: _count_running(cluster, TaskKind.BATCH) == 1)
         first = await cluster.wait_owner("north")
         cluster.kill_entry(first.peers.local_identity.name)
         await wait_for(lambda: cluster.job_state("north.a") == "finished")
@@ -41,7 +41,7 @@
 async def test_worker_dies_and_its_task_resumes_once_after_the_lease() -> None:
     async with open_cluster() as cluster:
         assert (await cluster.submit("north", "a", seconds=30.0)).accepted
-        await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
+        await wait_for(lambda: _count_running(cluster, TaskKind.BATCH) == 1)
         run = next(r for r in cluster.runs() if r.task == "north.a/0")
         cluster.kill_worker(run.machine)
         killed = trio.current_time()
@@ -54,7 +54,7 @@
 async def test_owner_and_worker_die_together() -> None:
     async with open_cluster() as cluster:
         assert (await cluster.submit("north", "a", seconds=20.0)).accepted
-        await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
+        await wait_for(lambda: _count_running(cluster, TaskKind.BATCH) == 1)
         run = next(r for r in cluster.runs() if r.task == "north.a/0")
         owner = await cluster.wait_owner("north")
         cluster.cut(owner.peers.local_identity.name, run.machine)
@@ -71,7 +71,7 @@
         owner = await cluster.wait_owner("north")
         name = owner.peers.local_identity.name
         assert (await cluster.submit("north", "a", seconds=40.0)).accepted
-        await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
+        await wait_for(lambda: _count_running(cluster, TaskKind.BATCH) == 1)
         cluster.entries[name].gate.pause()
         await wait_for(lambda: cluster.owner("north") not in (None, owner))
         await trio.sleep(TIMING.takeover_wait + 5)
@@ -84,14 +84,14 @@
 async def test_work_goes_on_while_the_log_is_away() -> None:
     async with open_cluster() as cluster:
         assert (await cluster.submit("north", "a", seconds=5.0)).accepted
-        await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
+        await wait_for(lambda: _count_running(cluster, TaskKind.BATCH) == 1)
         cluster.log.faults.plan = FaultPlan(away=True)
         await trio.sleep(2)
         verdict = await cluster.submit("north", "b", timeout=3.0)
         assert verdict.outcome is Outcome.NOT_SENT
         await trio.sleep(30)
         # This is far longer than confidence and lease, and nothing expired.
-        assert _running(cluster, TaskKind.WATCH) == 2
+        assert _count_running(cluster, TaskKind.WATCH) == 2
         assert cluster.job_state("north.a") == "accepted"
         cluster.log.faults.plan = FaultPlan()
         await wait_for(lambda: cluster.job_state("north.a") == "finished")
@@ -112,7 +112,7 @@
 async def test_owner_cut_off_from_everyone_falls_silent() -> None:
     async with open_cluster() as cluster:
         assert (await cluster.submit("north", "a", seconds=90.0)).accepted
-        await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
+        await wait_for(lambda: _count_running(cluster, TaskKind.BATCH) == 1)
         owner = await cluster.wait_owner("north")
         name = owner.peers.local_identity.name
         for other in [*cluster.entries, "log"]:
@@ -159,7 +159,7 @@
 async def test_leaving_worker_is_emptied_and_its_task_resumes() -> None:
     async with open_cluster() as cluster:
         assert (await cluster.submit("north", "a", seconds=30.0)).accepted
-        await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
+        await wait_for(lambda: _count_running(cluster, TaskKind.BATCH) == 1)
         await trio.sleep(15)
         run = next(r for r in cluster.runs() if r.task == "north.a/0")
         cluster.vms.leave(run.machine)
@@ -177,7 +177,7 @@
 async def test_planned_stop_hands_cells_over_at_once() -> None:
     async with open_cluster() as cluster:
         assert (await cluster.submit("north", "a", seconds=30.0)).accepted
-        await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
+        await wait_for(lambda: _count_running(cluster, TaskKind.BATCH) == 1)
         owner = await cluster.wait_owner("north")
         began = trio.current_time()
         await owner.drain()
@@ -231,7 +231,7 @@
 
 async def test_replica_is_withdrawn_before_it_is_stopped() -> None:
     async with open_cluster() as cluster:
-        await wait_for(lambda: _running(cluster, TaskKind.SERVICE) == 2)
+        await wait_for(lambda: _count_running(cluster, TaskKind.SERVICE) == 2)
         await wait_for(
             lambda: all(
                 len(n.target_registry.services()["stock"]) == 2
@@ -256,7 +256,7 @@
         # Requests in flight can finish before the replica is stopped.
         assert worker.service.running == {"stock"}
         await wait_for(lambda: not worker.service.running)
-        await wait_for(lambda: _running(cluster, TaskKind.SERVICE) == 2)
+        await wait_for(lambda: _count_running(cluster, TaskKind.SERVICE) == 2)
 
 
 async def test_worker_that_fails_everything_gets_few_tasks() -> None:
@@ -317,7 +317,7 @@
             for name in names
         )
         assert cluster.log.appends["cell-north"] - appends <= 10
-        await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 0)
+        await wait_for(lambda: _count_running(cluster, TaskKind.BATCH) == 0)
 
 
 async def test_tasks_that_use_more_than_declared_get_more_room() -> None:
@@ -354,7 +354,7 @@
 async def test_finish_unrecorded_at_a_take_over_is_not_run_again() -> None:
     async with open_cluster() as cluster:
         assert (await cluster.submit("north", "a", seconds=5.0)).accepted
-        await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
+        await wait_for(lambda: _count_running(cluster, TaskKind.BATCH) == 1)
         cluster.log.faults.plan = FaultPlan(away=True)
         await wait_for(lambda: finished_tasks(cluster.runs())["north.a/0"] == 1)
         owner = await cluster.wait_owner("north")
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -90,7 +90,7 @@
         yield cluster, Client(cluster)
 
 
-def _served(cluster: DevCluster, key: str) -> int:
+def _count_served(cluster: DevCluster, key: str) -> int:
     return sum(entry.subject == key for entry in cluster.journal.entries)
 
 
@@ -131,7 +131,7 @@
         await order(1)
         assert [r.status for r in replies] == [200] * 5
         assert len({str(r.body) for r in replies}) == 1
-        assert _served(cluster, "k1") == 1
+        assert _count_served(cluster, "k1") == 1
         reused_key_reply = await client.ask(
             "POST",
             "/services/stock/order",
@@ -162,7 +162,7 @@
         reply = await client.ask("POST", "/services/stock/o", headers=call)
         assert reply.status == 504
         assert reply.body["state"] == "unknown"
-        assert _served(cluster, "k2") == 0
+        assert _count_served(cluster, "k2") == 0
 
 
 @real_time
@@ -187,7 +187,7 @@
         assert reply.headers[b"content-type"] == b"application/problem+json"
         # Requests that need no log are still served.
         assert (await client.ask("GET", "/services/stock/x")).status == 200
-        assert _served(cluster, "k3") == 0
+        assert _count_served(cluster, "k3") == 0
         cluster.log.faults.plan = FaultPlan()
 
 
