--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -1,4 +1,4 @@
-"""A whole cluster in virtual time, attacked fault by fault."""
+"""Tests a whole cluster in virtual time with one kind of fault each."""
 
 import trio
 
@@ -9,7 +9,7 @@
 from tests.fixtures import FILES, TIMING, Cluster, open_cluster, wait_for
 
 
-def _running(cluster: Cluster, kind: TaskKind) -> int:
+def _count_running(cluster: Cluster, kind: TaskKind) -> int:
     return sum(
         spec.kind is kind
         for worker in cluster.workers.values()
@@ -19,8 +19,8 @@
 
 async def test_services_watches_and_jobs_run() -> None:
     async with open_cluster() as cluster:
-        await wait_for(lambda: _running(cluster, TaskKind.SERVICE) == 2)
-        await wait_for(lambda: _running(cluster, TaskKind.WATCH) == 2)
+        await wait_for(lambda: _count_running(cluster, TaskKind.SERVICE) == 2)
+        await wait_for(lambda: _count_running(cluster, TaskKind.WATCH) == 2)
         assert (await cluster.submit("north", "a")).accepted
         await wait_for(lambda: cluster.job_state("north.a") == "finished")
         assert finished_tasks(cluster.runs())["north.a/0"] == 1
@@ -29,19 +29,19 @@
 async def test_job_survives_the_death_of_its_cells_owner() -> None:
     async with open_cluster() as cluster:
         assert (await cluster.submit("north", "a", seconds=60.0)).accepted
-        await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
+        await wait_for(lambda: _count_running(cluster, TaskKind.BATCH) == 1)
         first = await cluster.wait_owner("north")
-        cluster.kill_entry(first.peers.mine.name)
+        cluster.kill_entry(first.peers.local_identity.name)
         await wait_for(lambda: cluster.job_state("north.a") == "finished")
         runs = [r for r in cluster.runs() if r.task == "north.a/0"]
-        # The worker was reachable, so its task was adopted, not run again.
+        # The worker was reachable, so the new owner adopted its running task.
         assert len(runs) == 1
 
 
 async def test_worker_dies_and_its_task_resumes_once_after_the_lease() -> None:
     async with open_cluster() as cluster:
         assert (await cluster.submit("north", "a", seconds=30.0)).accepted
-        await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
+        await wait_for(lambda: _count_running(cluster, TaskKind.BATCH) == 1)
         run = next(r for r in cluster.runs() if r.task == "north.a/0")
         cluster.kill_worker(run.machine)
         killed = trio.current_time()
@@ -54,12 +54,12 @@
 async def test_owner_and_worker_die_together() -> None:
     async with open_cluster() as cluster:
         assert (await cluster.submit("north", "a", seconds=20.0)).accepted
-        await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
+        await wait_for(lambda: _count_running(cluster, TaskKind.BATCH) == 1)
         run = next(r for r in cluster.runs() if r.task == "north.a/0")
         owner = await cluster.wait_owner("north")
-        cluster.cut(owner.peers.mine.name, run.machine)
-        cluster.kill_entry(owner.peers.mine.name)
-        # The worker runs on under its lease, unseen by everyone.
+        cluster.cut(owner.peers.local_identity.name, run.machine)
+        cluster.kill_entry(owner.peers.local_identity.name)
+        # The worker goes on until its lease ends, but no VM can reach it.
         for entry in cluster.entries.values():
             entry.gate.cut.add(run.machine)
         await wait_for(lambda: cluster.job_state("north.a") == "finished")
@@ -69,9 +69,9 @@
 async def test_paused_owner_wakes_after_it_was_superseded() -> None:
     async with open_cluster() as cluster:
         owner = await cluster.wait_owner("north")
-        name = owner.peers.mine.name
+        name = owner.peers.local_identity.name
         assert (await cluster.submit("north", "a", seconds=40.0)).accepted
-        await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
+        await wait_for(lambda: _count_running(cluster, TaskKind.BATCH) == 1)
         cluster.entries[name].gate.pause()
         await wait_for(lambda: cluster.owner("north") not in (None, owner))
         await trio.sleep(TIMING.takeover_wait + 5)
@@ -84,14 +84,14 @@
 async def test_work_goes_on_while_the_log_is_away() -> None:
     async with open_cluster() as cluster:
         assert (await cluster.submit("north", "a", seconds=5.0)).accepted
-        await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
+        await wait_for(lambda: _count_running(cluster, TaskKind.BATCH) == 1)
         cluster.log.faults.plan = FaultPlan(away=True)
         await trio.sleep(2)
         verdict = await cluster.submit("north", "b", timeout=3.0)
         assert verdict.outcome is Outcome.NOT_SENT
         await trio.sleep(30)
-        # Far longer than confidence and lease: nothing lapsed meanwhile.
-        assert _running(cluster, TaskKind.WATCH) == 2
+        # This is far longer than confidence and lease, and nothing expired.
+        assert _count_running(cluster, TaskKind.WATCH) == 2
         assert cluster.job_state("north.a") == "accepted"
         cluster.log.faults.plan = FaultPlan()
         await wait_for(lambda: cluster.job_state("north.a") == "finished")
@@ -103,8 +103,8 @@
 async def test_only_the_owner_is_cut_off_from_the_log() -> None:
     async with open_cluster() as cluster:
         owner = await cluster.wait_owner("north")
-        cluster.cut(owner.peers.mine.name, "log")
-        # Its peers tell it what the log holds, so it stays confirmed.
+        cluster.cut(owner.peers.local_identity.name, "log")
+        # Its peers send it the records of the log, so it stays confirmed.
         await trio.sleep(40)
         assert cluster.owner("north") is owner
 
@@ -112,16 +112,16 @@
 async def test_owner_cut_off_from_everyone_falls_silent() -> None:
     async with open_cluster() as cluster:
         assert (await cluster.submit("north", "a", seconds=90.0)).accepted
-        await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
+        await wait_for(lambda: _count_running(cluster, TaskKind.BATCH) == 1)
         owner = await cluster.wait_owner("north")
-        name = owner.peers.mine.name
+        name = owner.peers.local_identity.name
         for other in [*cluster.entries, "log"]:
             if other != name:
                 cluster.cut(name, other)
         await wait_for(lambda: cluster.owner("north") not in (None, owner))
         await trio.sleep(TIMING.confidence + 1)
         assert not owner.authority.may_act("cell:north")
-        cluster.mend(name)
+        cluster.reconnect(name)
         await wait_for(lambda: cluster.job_state("north.a") == "finished")
         assert finished_tasks(cluster.runs())["north.a/0"] == 1
 
@@ -159,7 +159,7 @@
 async def test_leaving_worker_is_emptied_and_its_task_resumes() -> None:
     async with open_cluster() as cluster:
         assert (await cluster.submit("north", "a", seconds=30.0)).accepted
-        await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
+        await wait_for(lambda: _count_running(cluster, TaskKind.BATCH) == 1)
         await trio.sleep(15)
         run = next(r for r in cluster.runs() if r.task == "north.a/0")
         cluster.vms.leave(run.machine)
@@ -168,7 +168,7 @@
         await wait_for(lambda: cluster.job_state("north.a") == "finished")
         runs = [r for r in cluster.runs() if r.task == "north.a/0"]
         assert len(runs) == 2
-        # It went on from its checkpoint: about 15 s were left.
+        # It resumed from its checkpoint with about 15 s remaining.
         assert runs[1].ended - runs[1].started < 20
         await trio.sleep(20)
         assert not worker.running
@@ -177,11 +177,11 @@
 async def test_planned_stop_hands_cells_over_at_once() -> None:
     async with open_cluster() as cluster:
         assert (await cluster.submit("north", "a", seconds=30.0)).accepted
-        await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
+        await wait_for(lambda: _count_running(cluster, TaskKind.BATCH) == 1)
         owner = await cluster.wait_owner("north")
         began = trio.current_time()
         await owner.drain()
-        cluster.kill_entry(owner.peers.mine.name)
+        cluster.kill_entry(owner.peers.local_identity.name)
         await cluster.wait_owner("north")
         assert trio.current_time() - began < 3
         await wait_for(lambda: cluster.job_state("north.a") == "finished")
@@ -231,10 +231,11 @@
 
 async def test_replica_is_withdrawn_before_it_is_stopped() -> None:
     async with open_cluster() as cluster:
-        await wait_for(lambda: _running(cluster, TaskKind.SERVICE) == 2)
+        await wait_for(lambda: _count_running(cluster, TaskKind.SERVICE) == 2)
         await wait_for(
             lambda: all(
-                len(n.book.services()["stock"]) == 2 for n in cluster.nodes
+                len(n.target_registry.services()["stock"]) == 2
+                for n in cluster.nodes
             )
         )
         worker = next(
@@ -248,14 +249,14 @@
             lambda: all(
                 t.worker != worker.shape.name
                 for n in cluster.nodes
-                for t in n.book.services()["stock"]
+                for t in n.target_registry.services()["stock"]
             )
         )
         assert trio.current_time() - began < 5
-        # Requests in flight have their time before the replica goes.
+        # Requests in flight can finish before the replica is stopped.
         assert worker.service.running == {"stock"}
         await wait_for(lambda: not worker.service.running)
-        await wait_for(lambda: _running(cluster, TaskKind.SERVICE) == 2)
+        await wait_for(lambda: _count_running(cluster, TaskKind.SERVICE) == 2)
 
 
 async def test_worker_that_fails_everything_gets_few_tasks() -> None:
@@ -270,8 +271,8 @@
         await wait_for(
             lambda: all(cluster.job_state(j) == "finished" for j in jobs)
         )
-        tries = [r for r in cluster.runs() if r.machine == "north-w0"]
-        assert sum(r.kind == "batch" for r in tries) <= 5
+        runs_on_broken = [r for r in cluster.runs() if r.machine == "north-w0"]
+        assert sum(r.kind == "batch" for r in runs_on_broken) <= 5
 
 
 async def test_job_that_can_never_run_ends_with_its_reason() -> None:
@@ -291,7 +292,7 @@
         assert len({r.machine for r in runs}) == len(runs) == 3
         job = node.owned["north"].fold.state.jobs["north.bad"]
         assert job.reason == "no such region"
-        # It is the job's fault: no worker is held to account.
+        # The failure is the job's fault, so no worker is quarantined.
         assert all(
             not node.owned["north"].explain_worker(r.machine) for r in runs
         )
@@ -316,13 +317,13 @@
             for name in names
         )
         assert cluster.log.appends["cell-north"] - appends <= 10
-        await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 0)
+        await wait_for(lambda: _count_running(cluster, TaskKind.BATCH) == 0)
 
 
 async def test_tasks_that_use_more_than_declared_get_more_room() -> None:
     async with open_cluster() as cluster:
         await cluster.wait_owner("north")
-        # Declared 2 processors and 5 s; they use 3 and take a minute.
+        # Tasks declare 2 processors and 5 s but use 3 and run for a minute.
         for worker in cluster.workers.values():
             worker.usage_factor = 1.5
         assert (await cluster.submit("north", "first", 60.0)).accepted
@@ -353,11 +354,11 @@
 async def test_finish_unrecorded_at_a_take_over_is_not_run_again() -> None:
     async with open_cluster() as cluster:
         assert (await cluster.submit("north", "a", seconds=5.0)).accepted
-        await wait_for(lambda: _running(cluster, TaskKind.BATCH) == 1)
+        await wait_for(lambda: _count_running(cluster, TaskKind.BATCH) == 1)
         cluster.log.faults.plan = FaultPlan(away=True)
         await wait_for(lambda: finished_tasks(cluster.runs())["north.a/0"] == 1)
         owner = await cluster.wait_owner("north")
-        cluster.kill_entry(owner.peers.mine.name)
+        cluster.kill_entry(owner.peers.local_identity.name)
         await trio.sleep(5)
         cluster.log.faults.plan = FaultPlan()
         await wait_for(lambda: cluster.job_state("north.a") == "finished")
