--- a/bench/rounds/causes.py
+++ b/bench/rounds/causes.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
+from pimentocross.cli.diagnosis import Diagnosis, Span, diagnose
 from pimentocross.cli.log_lines import LogLine, read_lines
-from pimentocross.cli.story import Diagnosis, Span, diagnose
 from pimentocross.work.spec import StepSpec
 
 # Objectives are between 1.5 and 2.2 times the work; a second is allowed each.
--- a/examples/parts/budgets.py
+++ b/examples/parts/budgets.py
@@ -1,4 +1,4 @@
-"""A retry budget and an adaptive limit while a target slows down."""
+"""Shows a retry budget and an adaptive limit while a target slows down."""
 
 import trio
 
@@ -7,7 +7,7 @@
 
 
 async def main() -> None:
-    """Shows how many retries an outage gets, and the limit's way down."""
+    """Prints the retries granted in an outage and the limit when slow."""
     budget = RetryBudget(ratio=0.1, reserve=5.0)
     retries = 0
     for _ in range(1_000):
--- a/examples/parts/drain.py
+++ b/examples/parts/drain.py
@@ -1,4 +1,4 @@
-"""A graceful stop waits for what is in flight."""
+"""Shows a graceful stop that waits for the work in flight."""
 
 import trio
 
@@ -6,17 +6,17 @@
 
 
 async def work(drain: Drain, seconds: float) -> None:
-    """Does one piece of work, or is turned away."""
+    """Works for some seconds, or is refused because of the drain."""
     try:
         with drain.admit():
             await trio.sleep(seconds)
             print("finished after", seconds, "s")
     except DrainingError:
-        print("turned away")
+        print("refused")
 
 
 async def main() -> None:
-    """Begins a drain while work is in flight."""
+    """Starts a drain while work is in flight."""
     drain = Drain()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(work, drain, 0.02)
--- a/examples/parts/log_fold.py
+++ b/examples/parts/log_fold.py
@@ -1,4 +1,4 @@
-"""Two readers fold one stream into the same counts."""
+"""Shows two readers that build the same state from one stream."""
 
 import trio
 
@@ -8,14 +8,14 @@
 
 
 class Stock:
-    """Pieces of each article; what would go below zero is rejected."""
+    """Stock of each article; rejects changes that would make it negative."""
 
     def __init__(self) -> None:
-        """Starts empty."""
+        """Initializes an empty stock."""
         self.pieces: dict[str, int] = {}
 
     def apply(self, offset: int, body: RecordBody) -> str | None:
-        """Folds one record; returns why it is rejected, or None."""
+        """Applies one record; returns why it is rejected, or None."""
         left = self.pieces.get(body["article"], 0) + body["change"]
         if left < 0:
             return "not enough pieces"
@@ -27,12 +27,12 @@
         return {"pieces": dict(self.pieces)}
 
     def load(self, dump: RecordBody) -> None:
-        """Replaces the state."""
+        """Replaces the state by a dump."""
         self.pieces = dict(dump["pieces"])
 
 
 async def main() -> None:
-    """Publishes through one fold and reads through another."""
+    """Publishes changes with one fold and reads the stock with another."""
     log = LogStandin()
     writer = StreamFold(log, "stock", Stock())
     reader = StreamFold(log, "stock", Stock())
--- a/examples/parts/ownership.py
+++ b/examples/parts/ownership.py
@@ -1,4 +1,4 @@
-"""Two processes race for one resource; the log's order decides."""
+"""Shows two processes that claim one resource; the first in the log wins."""
 
 import trio
 
@@ -9,7 +9,7 @@
 
 
 async def main() -> None:
-    """Claims from both sides and shows who may act."""
+    """Claims the resource from both processes and prints which may act."""
     log = LogStandin()
     async with trio.open_nursery() as nursery:
         sides = []
@@ -22,7 +22,7 @@
             member = MemberJoined(side.process, side.process, "", "zone")
             await side.join(member, timeout=5.0)
         first, second = sides
-        # Each later member is acknowledged by the earlier ones, directly.
+        # Earlier members acknowledge each later one by direct message.
         if first.acknowledge(second.process):
             second.note_acknowledged_by(first.process)
         outcomes: list[str] = []
--- a/onefile/__init__.py
+++ b/onefile/__init__.py
@@ -1,1 +1,1 @@
-"""Builds the program as one file."""
+"""Builds the program as a single executable file."""
--- a/onefile/build.py
+++ b/onefile/build.py
@@ -1,4 +1,4 @@
-"""Builds one file: a launcher with Python linked in, and all modules."""
+"""Builds one executable: a launcher with Python linked in, and all modules."""
 
 import compileall
 from importlib.metadata import distribution
@@ -13,10 +13,10 @@
 
 _ROOT = Path(__file__).parent.parent
 _TARGET = _ROOT / "dist" / "pimentocross"
-# Debian's interpreter: its library can be linked in as a whole.
+# Debian's Python, since its static library can be linked in as a whole.
 _PYTHON = f"python{sys.version_info.major}.{sys.version_info.minor}"
 _STDLIB = Path("/usr/lib") / _PYTHON
-_LEFT_OUT = (
+_EXCLUDED_FOLDERS = (
     "test",
     "tests",
     "idlelib",
@@ -30,20 +30,20 @@
     "dist-packages",
     f"config-{sys.version_info.major}.{sys.version_info.minor}",
 )
-_LEFT_OUT_MODULES = ("_test", "_ctypes_test", "xx", "_tkinter", "_dbm", "nis")
+_EXCLUDED_MODULES = ("_test", "_ctypes_test", "xx", "_tkinter", "_dbm", "nis")
 
 
 def runtime_distributions() -> list[str]:
-    """Returns the project's dependencies, and theirs."""
+    """Returns the project and its direct and indirect dependencies."""
     found: set[str] = set()
-    waiting = [Requirement("pimentocross")]
-    while waiting:
-        wanted = waiting.pop()
+    pending = [Requirement("pimentocross")]
+    while pending:
+        wanted = pending.pop()
         found.add(wanted.name)
         for line in distribution(wanted.name).requires or []:
             requirement = Requirement(line)
             if requirement.name not in found and _applies(requirement, wanted):
-                waiting.append(requirement)
+                pending.append(requirement)
     return sorted(found)
 
 
@@ -69,13 +69,14 @@
 def _copy_stdlib(folder: Path) -> None:
     for path in _STDLIB.rglob("*"):
         parts = path.relative_to(_STDLIB).parts
-        if any(part.startswith(_LEFT_OUT) for part in parts[:-1]):
+        if any(part.startswith(_EXCLUDED_FOLDERS) for part in parts[:-1]):
             continue
-        if path.is_dir() or path.name.startswith(_LEFT_OUT_MODULES):
+        if path.is_dir() or path.name.startswith(_EXCLUDED_MODULES):
             continue
         if path.suffix not in (".py", ".so"):
             continue
-        # Modules in C are found at the top, as Python itself would.
+        # Extension modules go to the top folder: they're imported by their
+        # plain names, and Python has `lib-dynload` on its path.
         kept = parts[1:] if parts[0] == "lib-dynload" else parts
         target = folder.joinpath(*kept)
         target.parent.mkdir(parents=True, exist_ok=True)
@@ -83,7 +84,7 @@
 
 
 def _compile(folder: Path) -> None:
-    """Leaves only compiled modules, next to where their source was."""
+    """Replaces each source file by its compiled module in the same folder."""
     compileall.compile_dir(
         folder, quiet=2, legacy=True, optimize=0, stripdir=str(folder)
     )
@@ -94,18 +95,18 @@
 
 def _archive(folder: Path, target: Path) -> None:
     with zipfile.ZipFile(target, "w", zipfile.ZIP_DEFLATED) as archive:
-        # Folders get entries too: packages without a module need them.
+        # Namespace packages are found only if their folders have entries.
         for path in sorted(folder.rglob("*")):
             archive.write(path, path.relative_to(folder))
 
 
 def _link(target: Path) -> None:
-    """Links the launcher, Python included, to the C library as usual."""
+    """Links the launcher and Python statically, the C library dynamically."""
     library = f"/usr/lib/{_triplet()}/lib{_PYTHON}.a"
     command = [
         "gcc",
         "-O2",
-        # Debian builds its static library without position independence.
+        # Debian's static library isn't position-independent code.
         "-no-pie",
         f"-I/usr/include/{_PYTHON}",
         str(_ROOT / "onefile" / "launcher.c"),
--- a/onefile/onefile_boot.py
+++ b/onefile/onefile_boot.py
@@ -1,7 +1,7 @@
-"""Runs the program out of the one file that it is in.
+"""Runs the program from the archive that is appended to its executable.
 
-Modules in C can't be loaded out of an archive, so each is copied into an
-anonymous file in memory first; no disk is needed.
+Extension modules can't be loaded from an archive, so each is copied into an
+anonymous file in memory first; nothing is written to disk.
 """
 
 import importlib.abc
@@ -15,12 +15,12 @@
 
 
 class ExtensionFinder(importlib.abc.MetaPathFinder):
-    """Finds modules in C inside the archive."""
+    """Finds extension modules in the archive."""
 
     def __init__(self, archive: str) -> None:
-        """Takes the archive's path."""
+        """Reads the list of extension modules from the archive at a path."""
         self._importer = zipimport.zipimporter(archive)
-        # The library keeps the archive's list of files under this name.
+        # `zipimporter` has the archive's file list only in a private attribute.
         files = self._importer._files  # type: ignore[attr-defined]
         self._modules = {
             _module_name(name): name
@@ -31,7 +31,7 @@
     def find_spec(
         self, fullname: str, path: object = None, target: object = None
     ) -> importlib.machinery.ModuleSpec | None:
-        """Returns where a module in C was copied to, or None."""
+        """Copies an extension module to memory; returns its spec, or None."""
         name = self._modules.get(fullname)
         if name is None:
             return None
--- a/pimentocross/cli/__init__.py
+++ b/pimentocross/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line, one module for each group of commands."""
+"""The command-line interface, one module for each group of commands."""
--- a/pimentocross/cli/caller.py
+++ b/pimentocross/cli/caller.py
@@ -1,4 +1,4 @@
-"""Commands that try a caller's side by hand: submit, cancel, call."""
+"""Commands that send requests as a caller: submit, cancel, call."""
 
 import json
 from typing import Annotated
@@ -6,7 +6,7 @@
 import msgspec
 import typer
 
-from pimentocross.cli.client import ask, end_on_problem
+from pimentocross.cli.client import exit_on_error, send_request
 from pimentocross.cli.options import AsJson, CallerAddress
 from pimentocross.cli.output import print_json
 from pimentocross.links.headers import (
@@ -28,16 +28,16 @@
     tenant: Tenant = "",
     as_json: AsJson = False,
 ) -> None:
-    """Submits a batch job and prints its id once it is accepted."""
+    """Submits a batch job and prints its id when it has been accepted."""
     body = {"class": class_name, "input": job_input, "tasks": tasks}
-    answer = ask(
+    answer = send_request(
         "POST",
         entry,
         "/jobs",
         headers=_headers(key, tenant),
         content=msgspec.json.encode(body),
     )
-    end_on_problem(answer)
+    exit_on_error(answer)
     if as_json:
         print_json(answer.body)
     else:
@@ -49,14 +49,14 @@
     entry: CallerAddress,
 ) -> None:
     """Cancels a batch job."""
-    end_on_problem(ask("DELETE", entry, f"/jobs/{job}"))
+    exit_on_error(send_request("DELETE", entry, f"/jobs/{job}"))
     typer.echo(f"{job} is cancelled")
 
 
 def call(
     service: Annotated[str, typer.Argument(help="Service.")],
     entry: CallerAddress,
-    path: Annotated[str, typer.Argument(help="Path at the service.")] = "/",
+    path: Annotated[str, typer.Argument(help="Path of the request.")] = "/",
     method: Annotated[str, typer.Option("--method")] = "GET",
     body: Annotated[str, typer.Option("--body")] = "",
     key: Key = "",
@@ -65,18 +65,18 @@
         float | None, typer.Option("--timeout", help="Seconds.")
     ] = None,
 ) -> None:
-    """Sends one request to a service and prints the answer's body."""
+    """Sends one request to a service and prints the body of the reply."""
     headers = _headers(key, tenant)
     if timeout is not None:
         headers.append((REQUEST_TIMEOUT, str(timeout).encode()))
-    answer = ask(
+    answer = send_request(
         method,
         entry,
         f"/services/{service}/{path.lstrip('/')}",
         headers=headers,
         content=body.encode(),
     )
-    end_on_problem(answer)
+    exit_on_error(answer)
     shown = answer.body
     typer.echo(shown if isinstance(shown, str) else json.dumps(shown))
 
--- a/pimentocross/cli/client.py
+++ b/pimentocross/cli/client.py
@@ -1,4 +1,4 @@
-"""Asks an entry VM over HTTP, for the commands."""
+"""Sends the HTTP requests of the commands to entry VMs."""
 
 from typing import Any, NamedTuple
 
@@ -8,23 +8,23 @@
 from pimentocross.cli.const import ExitCode
 from pimentocross.cli.output import fail
 
-_TIMEOUT = 45.0
-_ERRORS_FROM = 400
+_TIMEOUT_SECONDS = 45.0
+_MIN_ERROR_STATUS = 400
 
 
 class Answer(NamedTuple):
-    """Status and decoded body."""
+    """A reply: its HTTP status and its decoded body."""
 
     status: int
     body: Any
 
     @property
     def failed(self) -> bool:
-        """True for an error status."""
-        return self.status >= _ERRORS_FROM
+        """True if the status is 400 or above."""
+        return self.status >= _MIN_ERROR_STATUS
 
 
-def ask(
+def send_request(
     method: str,
     address: str,
     path: str,
@@ -33,7 +33,19 @@
     headers: list[tuple[bytes, bytes]] | None = None,
     content: bytes = b"",
 ) -> Answer:
-    """Sends one request; ends the command if there is no answer."""
+    """Sends one request and returns the reply.
+
+    A body that isn't JSON is returned as text. Exits with `UNREACHABLE` if
+    there is no reply.
+
+    Args:
+        method: The HTTP method.
+        address: host:port of the entry VM.
+        path: Path and query.
+        token: The operators' token, or "" to send none.
+        headers: Further headers.
+        content: The body.
+    """
     sent = list(headers or [])
     if token:
         sent.append((b"Authorization", f"Bearer {token}".encode()))
@@ -44,10 +56,10 @@
         return Answer(reply.status, reply.content.decode("utf-8", "replace"))
 
 
-def ask_text(address: str, path: str) -> str:
-    """Returns a page as text; ends the command if there is none."""
+def fetch_text(address: str, path: str) -> str:
+    """Returns a page as text; exits if it can't be fetched."""
     reply = _request("GET", address, path, [], b"")
-    if reply.status >= _ERRORS_FROM:
+    if reply.status >= _MIN_ERROR_STATUS:
         fail(f"{address} answers {reply.status}", ExitCode.UNREACHABLE)
     return reply.content.decode("utf-8", "replace")
 
@@ -59,7 +71,9 @@
     headers: list[tuple[bytes, bytes]],
     content: bytes,
 ) -> httpcore.Response:
-    timeouts = dict.fromkeys(["connect", "read", "write", "pool"], _TIMEOUT)
+    timeouts = dict.fromkeys(
+        ["connect", "read", "write", "pool"], _TIMEOUT_SECONDS
+    )
     try:
         return httpcore.request(
             method,
@@ -76,8 +90,8 @@
         fail(f"no answer from {address}: {error}", ExitCode.UNREACHABLE)
 
 
-def end_on_problem(answer: Answer) -> None:
-    """Ends the command with what a problem document says."""
+def exit_on_error(answer: Answer) -> None:
+    """Exits with the state and detail of the problem in an error reply."""
     if not answer.failed:
         return
     body = answer.body if isinstance(answer.body, dict) else {}
--- a/pimentocross/cli/config_commands.py
+++ b/pimentocross/cli/config_commands.py
@@ -1,4 +1,4 @@
-"""Commands on configuration: check, diff, apply."""
+"""Commands for the configuration: check, diff, apply."""
 
 import difflib
 from pathlib import Path
@@ -7,7 +7,7 @@
 import msgspec
 import typer
 
-from pimentocross.cli.client import Answer, ask, end_on_problem
+from pimentocross.cli.client import Answer, exit_on_error, send_request
 from pimentocross.cli.const import ExitCode
 from pimentocross.cli.options import (
     AsJson,
@@ -23,7 +23,13 @@
 
 
 class FolderChange(NamedTuple):
-    """A folder against what is in force."""
+    """The difference between a folder and the version in force.
+
+    Attributes:
+        base: The version in force.
+        files: Text of each new or changed file, by name.
+        removed: Names of files that the folder lacks.
+    """
 
     base: int
     files: dict[str, str]
@@ -31,8 +37,8 @@
 
 
 def check(folder: Folder, as_json: AsJson = False) -> None:
-    """Merges a folder's files and prints all that is wrong with them."""
-    findings = _find(_read(folder))
+    """Merges the files of a folder and prints all errors in them."""
+    findings = _validate(_read_files(folder))
     if as_json:
         items = [{**f.place._asdict(), "message": f.message} for f in findings]
         print_json(items)
@@ -48,13 +54,13 @@
 def diff(
     folder: Folder, operator: OperatorAddress, operator_token: OperatorToken
 ) -> None:
-    """Prints what applying a folder would change; exits 1 if anything."""
-    files = _read(folder)
-    in_force = _in_force(operator, operator_token)["files"]
+    """Prints what `apply` would change; exits with 1 if that is anything."""
+    files = _read_files(folder)
+    active = _fetch_active(operator, operator_token)["files"]
     lines: list[str] = []
-    for name in sorted({*files, *in_force}):
+    for name in sorted({*files, *active}):
         lines += difflib.unified_diff(
-            in_force.get(name, "").splitlines(),
+            active.get(name, "").splitlines(),
             files.get(name, "").splitlines(),
             f"in force/{name}",
             f"folder/{name}",
@@ -72,56 +78,56 @@
     operator_token: OperatorToken,
     as_json: AsJson = False,
 ) -> None:
-    """Publishes a folder and waits until it is in force everywhere."""
-    files = _read(folder)
-    findings = _find(files)
+    """Publishes a folder and waits until all entry VMs have applied it."""
+    files = _read_files(folder)
+    findings = _validate(files)
     if findings:
         for finding in findings:
             typer.echo(finding, err=True)
         raise typer.Exit(ExitCode.FINDINGS)
-    change = _compare(files, _in_force(operator, operator_token))
+    change = _compare(files, _fetch_active(operator, operator_token))
     if not change.files and not change.removed:
         typer.echo(f"version {change.base} is in force already")
         return
-    answer = ask(
+    answer = send_request(
         "POST",
         operator,
         "/config",
         token=operator_token,
         content=msgspec.json.encode(change._asdict()),
     )
-    _end_on_findings(answer)
-    end_on_problem(answer)
+    _exit_on_findings(answer)
+    exit_on_error(answer)
     _print_applied(answer.body, as_json)
 
 
-def _read(folder: Path) -> dict[str, str]:
+def _read_files(folder: Path) -> dict[str, str]:
     try:
         return read_folder(folder)
     except (OSError, UnicodeDecodeError) as error:
         fail(f"{folder}: {error}", ExitCode.FINDINGS)
 
 
-def _find(files: dict[str, str]) -> list[Finding]:
+def _validate(files: dict[str, str]) -> list[Finding]:
     loaded = load_configuration(files)
     return [] if loaded.is_ok() else loaded.error
 
 
-def _in_force(operator: str, token: str) -> dict[str, Any]:
-    answer = ask("GET", operator, "/config", token=token)
-    end_on_problem(answer)
+def _fetch_active(operator: str, token: str) -> dict[str, Any]:
+    answer = send_request("GET", operator, "/config", token=token)
+    exit_on_error(answer)
     body: dict[str, Any] = answer.body
     return body
 
 
-def _compare(files: dict[str, str], in_force: dict[str, Any]) -> FolderChange:
-    before: dict[str, str] = in_force["files"]
+def _compare(files: dict[str, str], active: dict[str, Any]) -> FolderChange:
+    before: dict[str, str] = active["files"]
     changed = {n: text for n, text in files.items() if before.get(n) != text}
     removed = sorted(before.keys() - files.keys())
-    return FolderChange(in_force["version"], changed, removed)
+    return FolderChange(active["version"], changed, removed)
 
 
-def _end_on_findings(answer: Answer) -> None:
+def _exit_on_findings(answer: Answer) -> None:
     if answer.status != _UNPROCESSABLE:
         return
     for finding in answer.body.get("findings", []):
--- a/pimentocross/cli/dev.py
+++ b/pimentocross/cli/dev.py
@@ -1,4 +1,4 @@
-"""The command that runs everything as tasks in one process."""
+"""The command that runs a whole cluster in one process, for trials."""
 
 from typing import Annotated
 
@@ -17,10 +17,11 @@
 def dev(
     folder: Folder,
     duration: Annotated[
-        str, typer.Option("--for", help="How long, such as 20s.")
+        str, typer.Option("--for", help="Duration, such as 20s.")
     ] = "20s",
     log_file: Annotated[
-        str, typer.Option("--log-file", help="Where logs go; - for stderr.")
+        str,
+        typer.Option("--log-file", help="File for logs; - for standard error."),
     ] = "",
     as_json: AsJson = False,
 ) -> None:
@@ -61,4 +62,4 @@
     for broken in report.broken:
         typer.echo(f"BROKEN: {broken}")
     if not report.broken:
-        typer.echo("every promise checked was kept")
+        typer.echo("all checked guarantees were kept")
--- a/pimentocross/cli/entry.py
+++ b/pimentocross/cli/entry.py
@@ -14,7 +14,7 @@
     HttpVmList,
     HttpWorkerDialer,
 )
-from pimentocross.cli.const import ENV, ExitCode
+from pimentocross.cli.const import ENV_PREFIX, ExitCode
 from pimentocross.cli.options import read_secret
 from pimentocross.cli.output import fail
 from pimentocross.contracts import const
@@ -24,13 +24,13 @@
 from pimentocross.links.greeting import Credentials
 from pimentocross.observe.logs import limit_accept_error_logs, log_to
 
-_KEYS_MOST = 2
-# Files that a process has open beside connections.
-_FILES_BESIDES = 32
+_MAX_PEER_KEYS = 2
+# File descriptors reserved for other uses than connections.
+_RESERVED_FILES = 32
 
 
 def _option(name: str, text: str) -> typer.models.OptionInfo:
-    variable = ENV + name.strip("-").upper().replace("-", "_")
+    variable = ENV_PREFIX + name.strip("-").upper().replace("-", "_")
     option: typer.models.OptionInfo = typer.Option(
         name, envvar=variable, help=text
     )
@@ -43,31 +43,33 @@
     cluster: Annotated[str, _option("--cluster", "The cluster's name.")],
     log: Annotated[str, _option("--log", "host:port of the log service.")],
     vm_list: Annotated[str, _option("--vm-list", "host:port of the VM list.")],
-    host: Annotated[str, _option("--host", "IP number to use.")] = "127.0.0.1",
+    host: Annotated[
+        str, _option("--host", "IP address to listen on and to register.")
+    ] = "127.0.0.1",
     caller_port: Annotated[
-        int, _option("--caller-port", "For callers.")
+        int, _option("--caller-port", "Port for callers.")
     ] = 7070,
     operator_port: Annotated[
-        int, _option("--operator-port", "For operators.")
+        int, _option("--operator-port", "Port for operators.")
     ] = 7071,
-    peer_port: Annotated[int, _option("--peer-port", "For peers.")] = 7072,
+    peer_port: Annotated[int, _option("--peer-port", "Port for peers.")] = 7072,
     peer_keys: Annotated[
         str, _option("--peer-keys", "One or two keys, comma-separated.")
     ] = "",
     peer_keys_file: Annotated[
-        Path | None, _option("--peer-keys-file", "The same, in a file.")
+        Path | None, _option("--peer-keys-file", "File that holds it.")
     ] = None,
     worker_key: Annotated[
-        str, _option("--worker-key", "Key that workers want.")
+        str, _option("--worker-key", "Key that workers require.")
     ] = "",
     worker_key_file: Annotated[
-        Path | None, _option("--worker-key-file", "The same, in a file.")
+        Path | None, _option("--worker-key-file", "File that holds it.")
     ] = None,
     operator_token: Annotated[
-        str, _option("--operator-token", "Token that operators show.")
+        str, _option("--operator-token", "Token that operators must send.")
     ] = "",
     operator_token_file: Annotated[
-        Path | None, _option("--operator-token-file", "The same, in a file.")
+        Path | None, _option("--operator-token-file", "File that holds it.")
     ] = None,
     retention: Annotated[
         float, _option("--retention", "Seconds that the log keeps records.")
@@ -79,21 +81,22 @@
         float, _option("--lease", "Lease of a task in seconds.")
     ] = const.LEASE,
     drain_notice: Annotated[
-        float, _option("--drain-notice", "Seconds the balancer needs.")
+        float,
+        _option("--drain-notice", "Seconds that the load balancer needs."),
     ] = 1.0,
     drain_timeout: Annotated[
-        float, _option("--drain-timeout", "Seconds requests may still take.")
+        float, _option("--drain-timeout", "Seconds for requests in flight.")
     ] = 30.0,
     connections_most: Annotated[
-        int, _option("--connections-most", "Connections held open at once.")
+        int, _option("--connections-most", "Limit of open connections.")
     ] = 4096,
     log_file: Annotated[
-        str, _option("--log-file", "Where logs go; - for standard error.")
+        str, _option("--log-file", "File for logs; - for standard error.")
     ] = "",
 ) -> None:
-    """Runs an entry process until it is asked to stop."""
+    """Runs an entry process until SIGTERM, SIGINT or a drain stops it."""
     keys = read_secret(peer_keys, peer_keys_file, "a peer key").split(",")
-    if len(keys) > _KEYS_MOST:
+    if len(keys) > _MAX_PEER_KEYS:
         fail("at most two peer keys are valid at once", ExitCode.USAGE)
     settings = EntrySettings(
         name,
@@ -116,20 +119,20 @@
             read_secret(worker_key, worker_key_file, "a worker key")
         ),
     )
-    _bound_connections(connections_most)
+    _limit_open_files(connections_most)
     log_to(log_file)
     limit_accept_error_logs()
     trio.run(_run, settings, platform)
 
 
-def _bound_connections(most: int) -> None:
-    """Lets the process hold only so many files, connections included.
+def _limit_open_files(most: int) -> None:
+    """Limits the open files of the process, connections included.
 
-    Beyond that the listeners leave new connections waiting until others
-    close; idle ones are closed after a while, so nobody waits for ever.
+    At the limit, the listeners accept no connection until another one closes.
+    Idle connections are closed after a timeout, so the wait is bounded.
     """
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    soft = min(most + _FILES_BESIDES, hard)
+    soft = min(most + _RESERVED_FILES, hard)
     resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
@@ -138,12 +141,12 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_stop_on_signal, node)
         async with open_entry(node, settings) as ports:
-            _announce(settings, ports)
+            _print_addresses(settings, ports)
             await node.wait_stop()
         nursery.cancel_scope.cancel()
 
 
-def _announce(settings: EntrySettings, ports: Ports) -> None:
+def _print_addresses(settings: EntrySettings, ports: Ports) -> None:
     typer.echo(
         f"{settings.name} listens on {settings.host}: callers"
         f" {ports.caller}, operators {ports.operator}, peers {ports.peer}"
--- a/pimentocross/cli/explain.py
+++ b/pimentocross/cli/explain.py
@@ -1,19 +1,20 @@
-"""The command that tells the story of one job, from logs or live VMs."""
+"""The command that explains one job from decision logs or live VMs."""
 
 from pathlib import Path
 from typing import Annotated
 
 import typer
 
-from pimentocross.cli.client import ask_text
+from pimentocross.cli.client import fetch_text
 from pimentocross.cli.const import ExitCode
+from pimentocross.cli.diagnosis import diagnose
 from pimentocross.cli.log_lines import LogLine, read_lines
 from pimentocross.cli.output import fail
-from pimentocross.cli.story import diagnose
 from pimentocross.observe.decisions import DECISIONS_PATH
 
-# Kinds that change who answers or what can run, told beside a job's own lines.
-_AROUND = frozenset(
+# Events that affect which VM owns a job or which workers can run it. They are
+# shown among the job's own lines.
+_CONTEXT_KINDS = frozenset(
     {
         "append_failed",
         "append_stored",
@@ -30,52 +31,56 @@
         "worker_unsound",
     }
 )
-_SKIPPED = ("t", "vm", "is")
+_HIDDEN_FIELDS = ("t", "vm", "is")
 
 
-def tell(lines: list[LogLine], job: str) -> list[LogLine]:
-    """Returns a job's lines in order, with what happened around them."""
+def job_timeline(lines: list[LogLine], job: str) -> list[LogLine]:
+    """Returns a job's log lines and events of its time, by time."""
     own = [line for line in lines if line.concerns(job)]
     if not own:
         return []
     first = min(line.at for line in own)
     last = max(line.at for line in own)
-    around = [
+    context = [
         line
         for line in lines
-        if line.kind in _AROUND and first <= line.at <= last
+        if line.kind in _CONTEXT_KINDS and first <= line.at <= last
     ]
-    return sorted(own + around, key=lambda line: line.at)
+    return sorted(own + context, key=lambda line: line.at)
 
 
 def explain(
     job: Annotated[str, typer.Argument(help="The job's id.")],
     files: Annotated[
         list[Path] | None,
-        typer.Argument(exists=True, dir_okay=False, help="Logs of all VMs."),
+        typer.Argument(
+            exists=True, dir_okay=False, help="Decision logs of all VMs."
+        ),
     ] = None,
     live: Annotated[
         list[str] | None,
         typer.Option(
-            "--live", help="Metrics address of a VM to ask, for each VM."
+            "--live", help="Metrics address of a VM; repeat for each VM."
         ),
     ] = None,
 ) -> None:
-    """Prints the story of one job, where its time went, and the cause."""
+    """Prints the events of one job, where its time went, and the cause."""
     lines: list[LogLine] = []
     for file in files or []:
         lines.extend(read_lines(file.read_text("utf-8", errors="replace")))
     for address in live or []:
-        lines.extend(read_lines(ask_text(address, DECISIONS_PATH)))
-    story = tell(lines, job)
-    if not story:
-        fail(f"no line of {job} in {len(lines)} lines", ExitCode.FINDINGS)
-    began = story[0].at
-    for line in story:
+        lines.extend(read_lines(fetch_text(address, DECISIONS_PATH)))
+    timeline = job_timeline(lines, job)
+    if not timeline:
+        fail(
+            f"no line about {job} in {len(lines)} log lines", ExitCode.FINDINGS
+        )
+    began = timeline[0].at
+    for line in timeline:
         fields = " ".join(
             f"{name}={value}"
             for name, value in line.fields.items()
-            if name not in _SKIPPED
+            if name not in _HIDDEN_FIELDS
         )
         typer.echo(f"{line.at - began:8.3f}  {line.vm}  {line.kind}  {fields}")
     diagnosis = diagnose(lines, job)
--- a/pimentocross/cli/told_runs.py
+++ b/pimentocross/cli/logged_runs.py
@@ -1,4 +1,4 @@
-"""The runs of one job as a log tells them."""
+"""Reads the runs of one job from its lines in the decision log."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -7,22 +7,22 @@
 from pimentocross.work.spec import StepSpec, TaskName
 
 
-class Run:
-    """A run as the log tells it.
+class LoggedRun:
+    """A run, as far as the log has lines about it.
 
     Attributes:
-        number: Its number in its task.
-        worker: Where it was sent.
-        decided: When it was decided on.
-        ended: When it ended, or None if no line tells.
-        how: How it ended, or "".
-        reason: Why it was stopped or not begun, or "".
-        wait: Why its end was waited for, or "".
-        unlogged: Whether its end was inferred.
+        number: Number of the run in its task.
+        worker: The worker that it was sent to.
+        decided: When it was decided on, in seconds since 1970.
+        ended: When it ended, in seconds since 1970, or None if not logged.
+        how: How it ended, such as "done" or "lost", or "".
+        reason: Why it was stopped or not started, or "".
+        wait: Why the owner waited for its end, or "".
+        unlogged: Whether its end was inferred, since it is not in the log.
     """
 
     def __init__(self, number: int, worker: str, decided: float) -> None:
-        """Takes a run that was decided on."""
+        """Initializes a run that has been decided on and has not ended."""
         self.number = number
         self.worker = worker
         self.decided = decided
@@ -34,31 +34,32 @@
 
     @property
     def done(self) -> bool:
-        """True if it brought its task to its end."""
+        """True if the run completed its task."""
         return self.how == "done"
 
 
-class Work(NamedTuple):
-    """A job's steps and runs.
+class LoggedJob(NamedTuple):
+    """A job's steps and logged runs; times are seconds since 1970.
 
     Attributes:
-        accepted: When it was accepted.
-        steps: Its steps.
-        runs: Of each task, those that a line tells of.
-        until: When it ended, or the log.
-        completed: Whether it ended well.
-        crashes: Workers that crashed under the task for which it was given up.
+        accepted: When the job was accepted.
+        steps: The steps of the job.
+        runs: The logged runs of each task.
+        until: When the job ended, or the time of the log's last line.
+        completed: Whether the job completed.
+        crashes: If the job was given up since a task of it crashed workers,
+            the number of these crashes.
     """
 
     accepted: float
     steps: list[StepSpec]
-    runs: dict[TaskName, list[Run]]
+    runs: dict[TaskName, list[LoggedRun]]
     until: float
     completed: bool
     crashes: int = 0
 
-    def begun_after(self, occurrence: int, step: int) -> float:
-        """Returns when the first run began that has to wait for a step."""
+    def first_dependent_start(self, occurrence: int, step: int) -> float:
+        """Returns when the first run that depends on a step was decided on."""
         return min(
             (
                 runs[0].decided
@@ -69,11 +70,11 @@
             default=self.until,
         )
 
-    def settle_unlogged(self) -> None:
-        """Ends the runs of a job that completed though no line tells of it.
+    def infer_unlogged_ends(self) -> None:
+        """Infers the ends of a completed job's runs that aren't in the log.
 
-        Ordinary ends are dropped before all others when a log is over its
-        bound: a run without an end is a loss only if its job did not complete.
+        A log over its size limit drops the lines of ordinary ends first. So a
+        run without a logged end is lost only if its job did not complete.
         """
         if not self.completed:
             return
@@ -81,24 +82,24 @@
             newest = runs[-1]
             if newest.ended is not None or any(run.done for run in runs):
                 continue
-            after = self.begun_after(task.occurrence, task.step)
+            after = self.first_dependent_start(task.occurrence, task.step)
             newest.ended = max(after, newest.decided)
             newest.how, newest.unlogged = "done", True
 
 
-def read_crashes(own: Iterable[LogLine]) -> int:
-    """Returns how many workers crashed under a task that was given up, or 0."""
+def read_crash_count(own: Iterable[LogLine]) -> int:
+    """Returns how many workers a task crashed until it was given up, or 0."""
     found = [line for line in own if line.kind == "task_given_up"]
     return max((int(line.fields["crashes"]) for line in found), default=0)
 
 
-def read_runs(own: Iterable[LogLine]) -> dict[TaskName, list[Run]]:
+def read_logged_runs(own: Iterable[LogLine]) -> dict[TaskName, list[LoggedRun]]:
     """Returns the runs of each task.
 
     Args:
-        own: A job's lines in order.
+        own: A job's log lines, by time.
     """
-    runs: dict[TaskName, list[Run]] = {}
+    runs: dict[TaskName, list[LoggedRun]] = {}
     for line in own:
         if "task" not in line.fields or "run" not in line.fields:
             continue
@@ -107,13 +108,13 @@
         run = next((r for r in known if r.number == number), None)
         if run is None:
             worker = str(line.fields.get("worker", ""))
-            run = Run(number, worker, line.at)
+            run = LoggedRun(number, worker, line.at)
             known.append(run)
-        _take(run, line)
+        _apply_line(run, line)
     return runs
 
 
-def _take(run: Run, line: LogLine) -> None:
+def _apply_line(run: LoggedRun, line: LogLine) -> None:
     if line.kind == "run_stop":
         run.reason = str(line.fields["reason"])
     elif line.kind == "run_ended" and run.ended is None:
--- a/pimentocross/cli/main.py
+++ b/pimentocross/cli/main.py
@@ -1,4 +1,4 @@
-"""The program `pimentocross`."""
+"""The entry point of the program `pimentocross`."""
 
 import platform
 import sys
@@ -52,7 +52,7 @@
         bool, typer.Option("--json", help="Print JSON.")
     ] = False,
 ) -> None:
-    """Prints the version and what it was built with."""
+    """Prints the versions of the program and of Python."""
     build = {
         "version": pimentocross.__version__,
         "python": platform.python_version(),
@@ -66,7 +66,7 @@
 
 
 def main() -> None:
-    """Runs the program."""
+    """Runs the command line."""
     app()
 
 
--- a/pimentocross/cli/operate.py
+++ b/pimentocross/cli/operate.py
@@ -5,14 +5,16 @@
 
 import typer
 
-from pimentocross.cli.client import ask, end_on_problem
+from pimentocross.cli.client import exit_on_error, send_request
 from pimentocross.cli.const import ExitCode
 from pimentocross.cli.options import AsJson, OperatorAddress, OperatorToken
 from pimentocross.cli.output import fail, print_json, print_table
 
 Subject = Annotated[str, typer.Argument(help="A job, task, class or worker.")]
 VmName = Annotated[str, typer.Argument(help="A worker or entry VM.")]
-Most = Annotated[int, typer.Option("--most", min=1, help="Jobs listed.")]
+MaxJobs = Annotated[
+    int, typer.Option("--most", min=1, help="Maximum number of jobs.")
+]
 
 _VM_COLUMNS = ["worker", "cell", "met", "leaving", "tasks", "free"]
 _JOB_COLUMNS = ["job", "class_name", "tenant", "state", "finished", "tasks"]
@@ -33,7 +35,7 @@
     operator_token: OperatorToken,
     as_json: AsJson = False,
 ) -> None:
-    """Prints what each live entry VM does."""
+    """Prints the state of each live entry VM and of its cells."""
     body = _get(operator, operator_token, "/status")
     if as_json:
         print_json(body)
@@ -52,7 +54,7 @@
     operator_token: OperatorToken,
     as_json: AsJson = False,
 ) -> None:
-    """Prints the workers with what is free on them."""
+    """Prints the workers with their free resources."""
     body = _get(operator, operator_token, "/vms")
     _print_rows(body, _VM_COLUMNS, as_json)
 
@@ -60,7 +62,7 @@
 def jobs(
     operator: OperatorAddress,
     operator_token: OperatorToken,
-    most: Most = 100,
+    most: MaxJobs = 100,
     as_json: AsJson = False,
 ) -> None:
     """Prints the newest jobs."""
@@ -74,7 +76,7 @@
     operator_token: OperatorToken,
     as_json: AsJson = False,
 ) -> None:
-    """Prints the deciding reasons for a job, task, class or worker."""
+    """Prints why a job, task, class or worker is in its state."""
     path = f"/why?subject={quote(subject)}"
     body = _get(operator, operator_token, path)
     if as_json:
@@ -82,7 +84,7 @@
     for reason in body["reasons"] if not as_json else []:
         typer.echo(reason)
     if not body["reasons"]:
-        fail(f"nothing is known of {subject!r}", ExitCode.FINDINGS)
+        fail(f"nothing is known about {subject!r}", ExitCode.FINDINGS)
 
 
 def histograms(
@@ -98,16 +100,16 @@
 def drain(
     vm: VmName, operator: OperatorAddress, operator_token: OperatorToken
 ) -> None:
-    """Empties a worker, or stops the entry VM that is asked."""
+    """Drains a worker, or drains and stops the entry VM that is addressed."""
     path = f"/drain?vm={quote(vm)}"
-    answer = ask("POST", operator, path, token=operator_token)
-    end_on_problem(answer)
-    typer.echo(f"{vm} is leaving")
+    answer = send_request("POST", operator, path, token=operator_token)
+    exit_on_error(answer)
+    typer.echo(f"{vm} is draining")
 
 
 def _get(operator: str, token: str, path: str) -> Any:
-    answer = ask("GET", operator, path, token=token)
-    end_on_problem(answer)
+    answer = send_request("GET", operator, path, token=token)
+    exit_on_error(answer)
     return answer.body
 
 
--- a/pimentocross/cli/output.py
+++ b/pimentocross/cli/output.py
@@ -1,4 +1,4 @@
-"""Prints results: readable, or as JSON where output is data."""
+"""Prints results as tables or as JSON, and errors."""
 
 from collections.abc import Mapping, Sequence
 import json
@@ -10,13 +10,13 @@
 
 
 def print_json(value: object) -> None:
-    """Prints a value as JSON."""
+    """Prints a value as indented JSON."""
     typer.echo(json.dumps(value, indent=2))
 
 
 def print_table(rows: Sequence[Mapping[str, Any]], columns: list[str]) -> None:
-    """Prints rows under headings, columns as wide as needed."""
-    cells = [[_show(row.get(name)) for name in columns] for row in rows]
+    """Prints rows as a table, each column as wide as its longest cell."""
+    cells = [[_format_cell(row.get(name)) for name in columns] for row in rows]
     titles = [name.replace("_", " ") for name in columns]
     widths = [
         max(len(line[i]) for line in [titles, *cells])
@@ -27,17 +27,17 @@
         typer.echo("  ".join(padded).rstrip())
 
 
-def _show(value: object) -> str:
+def _format_cell(value: object) -> str:
     if value is None:
         return "-"
     if isinstance(value, float):
         return f"{value:.3g}" if abs(value) < 1 else f"{value:.2f}"
     if isinstance(value, list):
-        return ",".join(_show(item) for item in value)
+        return ",".join(_format_cell(item) for item in value)
     return str(value)
 
 
 def fail(message: str, code: ExitCode) -> NoReturn:
-    """Prints a message to standard error and ends with a code."""
+    """Prints a message to standard error and exits with a code."""
     typer.echo(message, err=True)
     raise typer.Exit(code)
--- a/pimentocross/cli/standin.py
+++ b/pimentocross/cli/standin.py
@@ -1,4 +1,4 @@
-"""Commands that run each stand-in as its own process."""
+"""Commands that run one stand-in of the platform as a process."""
 
 from pathlib import Path
 import sys
@@ -23,7 +23,7 @@
 )
 
 app = typer.Typer(
-    help="Runs a small stand-in of the platform, for trials and tests.",
+    help="Runs a simulated part of the platform, for trials and tests.",
     no_args_is_help=True,
 )
 
@@ -43,7 +43,7 @@
     ] = 3600.0,
     seed: int = 0,
 ) -> None:
-    """Runs a log service in memory."""
+    """Runs a log service that keeps its records in memory."""
     standin = LogStandin(retention, seed)
     trio.run(_serve, make_log_app(standin), host, port)
 
@@ -52,9 +52,11 @@
 def vms(
     host: Host = "127.0.0.1",
     port: Port = 7082,
-    lag: Annotated[float, typer.Option(help="Seconds behind.")] = 1.0,
+    lag: Annotated[
+        float, typer.Option(help="Seconds by which the list is late.")
+    ] = 1.0,
 ) -> None:
-    """Runs a VM list."""
+    """Runs a VM list that shows changes late."""
     trio.run(_serve, make_vms_app(VmListStandin(lag)), host, port)
 
 
@@ -63,11 +65,13 @@
     name: str = "target",
     host: Host = "127.0.0.1",
     port: Port = 7084,
-    service_time: Annotated[float, typer.Option(help="Mean seconds.")] = 0.005,
+    service_time: Annotated[
+        float, typer.Option(help="Mean, in seconds.")
+    ] = 0.005,
     slots: int = 8,
     journal: JournalFile = None,
 ) -> None:
-    """Runs a target that answers for any service."""
+    """Runs a target that replies to requests for any service."""
     standin = ServiceStandin(
         name,
         name,
@@ -84,7 +88,10 @@
     zone: Annotated[str, typer.Option(help="Its availability zone.")],
     vm_list: Annotated[str, typer.Option(help="host:port to register at.")],
     key: Annotated[
-        str, typer.Option(envvar="PIMENTOCROSS_WORKER_KEY", help="Key wanted.")
+        str,
+        typer.Option(
+            envvar="PIMENTOCROSS_WORKER_KEY", help="Key that it requires."
+        ),
     ],
     host: Host = "127.0.0.1",
     port: Port = 7083,
@@ -95,10 +102,12 @@
     accelerators: int = 0,
     slots: int = 8,
     connections: int = 64,
-    service_time: Annotated[float, typer.Option(help="Mean seconds.")] = 0.005,
+    service_time: Annotated[
+        float, typer.Option(help="Mean, in seconds.")
+    ] = 0.005,
     journal: JournalFile = None,
 ) -> None:
-    """Runs a worker whose tasks only wait."""
+    """Runs a worker whose tasks sleep instead of working."""
     capacity = Resources(processors, memory, accelerators, slots)
     shape = WorkerShape(name, zone, capacity, connections)
     standin = WorkerStandin(shape, _open_journal(journal), service_time)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line against a small cluster, and as its own process."""
+"""Tests the commands with a small cluster, and an entry VM as a process."""
 
 from collections.abc import Callable
 import json
@@ -35,7 +35,7 @@
 
 
 @real_time
-async def test_operators_commands() -> None:
+async def test_commands_of_operators_and_callers() -> None:
     folder = Path(os.environ.get("TMPDIR", "/tmp")) / f"pmc-{os.getpid()}"
     folder.mkdir()
     _write(folder, "10.yaml", FILES["10.yaml"])
@@ -85,7 +85,7 @@
     folder.rmdir()
 
 
-def test_unreachable_and_wrong_usage_have_their_codes() -> None:
+def test_unreachable_and_wrong_usage_have_their_exit_codes() -> None:
     nobody = ["--operator", f"{_HOST}:{free_port()}", "--operator-token", "x"]
     assert _invoke("status", *nobody).exit_code == ExitCode.UNREACHABLE
     assert _invoke("status").exit_code == ExitCode.USAGE
@@ -110,7 +110,7 @@
         return b""
 
 
-def test_entry_process_outlives_a_flood_of_connections() -> None:
+def test_entry_process_survives_a_flood_of_connections() -> None:
     ports = [free_port() for _ in range(5)]
     environment = {
         **os.environ,
@@ -149,7 +149,7 @@
 
 
 @real_time
-async def test_one_action_tree_reaches_from_entry_vm_to_owner() -> None:
+async def test_one_action_tree_spans_entry_vm_and_owner() -> None:
     seen: list[dict[str, object]] = []
     import eliot
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""The decision log: bounded, never blocking, and readable afterwards."""
+"""Tests that the decision log is bounded, never blocks and can be read."""
 
 import os
 from pathlib import Path
@@ -9,7 +9,7 @@
 from typer.testing import CliRunner
 
 from pimentocross.cli import explain
-from pimentocross.cli.explain import tell
+from pimentocross.cli.explain import job_timeline
 from pimentocross.cli.log_lines import read_lines
 from pimentocross.cli.main import app
 from pimentocross.observe import decisions
@@ -31,9 +31,9 @@
 """
 
 
-def test_a_jobs_story_is_told_in_order_with_what_happened_around() -> None:
-    story = tell(read_lines(_LOG), "j1")
-    assert [line.kind for line in story] == [
+def test_a_jobs_timeline_is_in_order_with_events_of_its_time() -> None:
+    timeline = job_timeline(read_lines(_LOG), "j1")
+    assert [line.kind for line in timeline] == [
         "job_accepted",
         "run_decided",
         "run_decided",
@@ -42,23 +42,25 @@
     ]
 
 
-def test_the_command_prints_the_story_or_says_that_there_is_none() -> None:
+def test_the_command_prints_the_timeline_or_fails_without_lines() -> None:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "log"
         path.write_text(_LOG, "utf-8")
         runner = CliRunner()
-        told = runner.invoke(app, ["explain", "j1", str(path)])
-        assert told.exit_code == 0
-        assert "run_ended" in told.output
-        assert "how=done" in told.output
+        result = runner.invoke(app, ["explain", "j1", str(path)])
+        assert result.exit_code == 0
+        assert "run_ended" in result.output
+        assert "how=done" in result.output
         missing = runner.invoke(app, ["explain", "j9", str(path)])
         assert missing.exit_code == 1
 
 
-def test_a_story_tells_that_the_owner_was_late() -> None:
+def test_a_timeline_shows_that_the_owner_was_late() -> None:
     late = '{"t":10.5,"vm":"a","is":"late","late":1.4,"passes":1.3}\n'
     read = '{"t":10.6,"vm":"a","is":"owner_read","epoch":8,"jobs":1}\n'
-    kinds = [line.kind for line in tell(read_lines(_LOG + late + read), "j1")]
+    kinds = [
+        line.kind for line in job_timeline(read_lines(_LOG + late + read), "j1")
+    ]
     assert {"late", "owner_read"} <= set(kinds), kinds
 
 
@@ -76,21 +78,21 @@
 
 
 def test_the_command_asks_live_vms() -> None:
-    with mock.patch.object(explain, "ask_text", return_value=_LOG) as asked:
-        told = CliRunner().invoke(app, ["explain", "j1", "--live", "h:1"])
-    assert told.exit_code == 0, told.output
-    assert "how=done" in told.output
+    with mock.patch.object(explain, "fetch_text", return_value=_LOG) as asked:
+        result = CliRunner().invoke(app, ["explain", "j1", "--live", "h:1"])
+    assert result.exit_code == 0, result.output
+    assert "how=done" in result.output
     asked.assert_called_once_with("h:1", "/decisions")
 
 
-def test_no_field_hides_who_wrote_a_line() -> None:
+def test_no_field_replaces_the_writer_or_kind_of_a_line() -> None:
     log = DecisionLog()
     log.source = "a"
     log.note("suspect", {"vm": "b", "is": "other", "owner": "b"})
     assert log.newest() == {"vm": "a", "is": "suspect", "owner": "b"}
 
 
-def test_a_stuck_reader_costs_lines_and_no_time() -> None:
+def test_a_blocked_reader_costs_lines_but_no_time() -> None:
     reader, writer = os.pipe()
     log = DecisionLog()
     saved = os.dup(1)
@@ -111,7 +113,7 @@
     assert log.dropped["run_decided"] > 10_000
 
 
-def test_counters_and_latencies_are_rendered_for_scrapers() -> None:
+def test_counters_and_latencies_are_rendered_as_metrics() -> None:
     decisions.note("run_decided")
     histograms = Histograms()
     histograms.record(Label("queue", "q"), 0.02)
--- a/tests/test_onefile.py
+++ b/tests/test_onefile.py
@@ -1,4 +1,4 @@
-"""The one binary: no children, no files of its own, quick to start."""
+"""Tests the single binary: no child processes, no files, a quick start."""
 
 import contextlib
 import os
@@ -9,10 +9,10 @@
 
 _ROOT = Path(__file__).parent.parent
 _PROGRAM = _ROOT / "dist" / "pimentocross"
-_MEMORY_MOST = 256_000_000
-# Beside the same program in a prepared environment, in the same run.
-_START_RATIO_MOST = 3.0
-_WRITING = os.O_WRONLY | os.O_RDWR
+_MAX_MEMORY = 256_000_000
+# Start time relative to the same program in an installed environment.
+_MAX_START_RATIO = 3.0
+_WRITE_FLAGS = os.O_WRONLY | os.O_RDWR
 
 
 def _children(pid: int) -> list[str]:
@@ -27,19 +27,19 @@
     """Returns files on a disk that are open for writing."""
     found = []
     for link in Path(f"/proc/{pid}/fd").iterdir():
-        # A file may be closed between the listing and this look at it.
+        # A file may be closed after it has been listed.
         with contextlib.suppress(FileNotFoundError):
             info = Path(f"/proc/{pid}/fdinfo/{link.name}").read_text()
             flags = int(info.split("flags:")[1].split()[0], 8)
             path = os.readlink(link)
             on_disk = path.startswith("/") and not path.startswith("/dev/")
-            # Modules in C lie in memory files.
-            if on_disk and "memfd:" not in path and flags & _WRITING:
+            # Extension modules are in anonymous files in memory.
+            if on_disk and "memfd:" not in path and flags & _WRITE_FLAGS:
                 found.append(path)
     return found
 
 
-def _memory(pid: int) -> int:
+def _peak_memory(pid: int) -> int:
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmHWM:"):
             return int(line.split()[1]) * 1024
@@ -73,7 +73,7 @@
     while time.monotonic() < ends_at:
         children += _children(process.pid)
         files |= set(_written_files(process.pid))
-        memory = max(memory, _memory(process.pid))
+        memory = max(memory, _peak_memory(process.pid))
         time.sleep(0.1)
     linked = Path(f"/proc/{process.pid}/maps").read_text()
     output, _ = process.communicate(timeout=60)
@@ -82,10 +82,10 @@
     assert not files
     assert "libc.so" in linked
     assert "python" not in linked.replace(str(_PROGRAM), "")
-    assert memory < _MEMORY_MOST, memory
+    assert memory < _MAX_MEMORY, memory
 
 
-def test_one_binary_starts_about_as_quickly() -> None:
+def test_one_binary_starts_about_as_fast_as_installed() -> None:
     alone = _start_seconds(str(_PROGRAM))
     prepared = _start_seconds(sys.executable, "-m", "pimentocross")
-    assert alone < prepared * _START_RATIO_MOST, (alone, prepared)
+    assert alone < prepared * _MAX_START_RATIO, (alone, prepared)
