--- a/pimentocross/cli/entry.py
+++ b/pimentocross/cli/entry.py
@@ -57,19 +57,19 @@
         str, _option("--peer-keys", "One or two keys, comma-separated.")
     ] = "",
     peer_keys_file: Annotated[
-        Path | None, _option("--peer-keys-file", "File that holds it.")
+        Path | None, _option("--peer-keys-file", "File with the keys.")
     ] = None,
     worker_key: Annotated[
         str, _option("--worker-key", "Key that workers require.")
     ] = "",
     worker_key_file: Annotated[
-        Path | None, _option("--worker-key-file", "File that holds it.")
+        Path | None, _option("--worker-key-file", "File with the key.")
     ] = None,
     operator_token: Annotated[
         str, _option("--operator-token", "Token that operators must send.")
     ] = "",
     operator_token_file: Annotated[
-        Path | None, _option("--operator-token-file", "File that holds it.")
+        Path | None, _option("--operator-token-file", "File with the token.")
     ] = None,
     retention: Annotated[
         float, _option("--retention", "Seconds that the log keeps records.")
@@ -85,7 +85,7 @@
         _option("--drain-notice", "Seconds that the load balancer needs."),
     ] = 1.0,
     drain_timeout: Annotated[
-        float, _option("--drain-timeout", "Seconds for requests in flight.")
+        float, _option("--drain-timeout", "Seconds for open requests to end.")
     ] = 30.0,
     connections_most: Annotated[
         int, _option("--connections-most", "Limit of open connections.")
