--- a/pimentocross/cli/diagnosis.py
+++ b/pimentocross/cli/diagnosis.py
@@ -130,7 +130,7 @@
             reason = str(line.fields["reason"])
             return Diagnosis("not accepted", (), f"refused: {reason}")
         if line.kind == "job_unsure":
-            return Diagnosis("unsure", (), "the store was not available")
+            return Diagnosis("unsure", (), "the store had become unavailable")
     return Diagnosis("unknown", (), "the log has no line about its acceptance")
 
 
@@ -141,7 +141,7 @@
         self._logged = logged
         self._load_lines = [line for line in lines if line.kind == "load"]
         self._late_lines = [line for line in lines if line.kind == "late"]
-        self._worker_problems = [
+        self._worker_problem_lines = [
             line
             for line in lines
             if line.kind in ("worker_unsound", "worker_silent", "runs_lost")
@@ -238,7 +238,7 @@
     ) -> str:
         kinds = {
             line.kind.replace("_", " ")
-            for line in self._worker_problems
+            for line in self._worker_problem_lines
             if line.fields.get("worker") == worker
             and began <= line.at <= ended + 1
         }
@@ -289,7 +289,7 @@
         return (
             f"{what} for {spec.size.cpu / 1000:g} cores: {share:.0%} of"
             f" {load['capacity'] // 1000} cores reserved,"
-            f" {load['waiting']} tasks waited{_closed_zones(load)}"
+            f" {load['waiting']} tasks waited{_describe_closed_zones(load)}"
         )
 
     def _owner_gap(self, began: float, ended: float) -> float:
@@ -298,10 +298,10 @@
         before = [at for at in times if at <= began][-1:]
         within = [at for at in times if began < at < ended]
         after = [at for at in times if at >= ended][:1]
-        marks = [*before, *within, *after]
+        load_times = [*before, *within, *after]
         gaps = [
             min(late, ended) - max(early, began)
-            for early, late in itertools.pairwise(marks)
+            for early, late in itertools.pairwise(load_times)
             if late - early > _MIN_OWNER_GAP
         ]
         return max(gaps, default=0.0)
@@ -317,10 +317,12 @@
             f"image {spec.image} was shut out or its workers full:"
             f" {left // 1000} cores were left over in all"
         )
-    return f"{what}, {waiting} filling tasks waited{_closed_zones(load)}"
+    return (
+        f"{what}, {waiting} filling tasks waited{_describe_closed_zones(load)}"
+    )
 
 
-def _closed_zones(load: dict[str, Any]) -> str:
+def _describe_closed_zones(load: dict[str, Any]) -> str:
     """Returns the cores in evacuated zones as text, or "" if there are none."""
     closed = load.get("closed", 0)
     if not closed:
--- a/pimentocross/cli/explain.py
+++ b/pimentocross/cli/explain.py
@@ -35,7 +35,10 @@
 
 
 def job_timeline(lines: list[LogLine], job: str) -> list[LogLine]:
-    """Returns a job's log lines and events of its time, by time."""
+    """Returns the log lines of a job, with context events, sorted by time.
+
+    Only events between the job's first and last line are included.
+    """
     own = [line for line in lines if line.concerns(job)]
     if not own:
         return []
