--- a/pimentocross/cli/diagnosis.py
+++ b/pimentocross/cli/diagnosis.py
@@ -357,12 +357,12 @@
 
     The detail ends at its first colon, after which figures follow.
     """
-    troubles = _parenthesized(part.detail)
+    problems = _parenthesized(part.detail)
     if part.span is Span.WORKED:
-        return f"worked {troubles}".rstrip()
-    text = part.detail.partition(":")[0].removesuffix(troubles)
+        return f"worked {problems}".rstrip()
+    text = part.detail.partition(":")[0].removesuffix(problems)
     text = re.sub(r",? on \S+", "", text).rstrip()
-    return f"{part.span.value}: {text} {troubles}".rstrip()
+    return f"{part.span.value}: {text} {problems}".rstrip()
 
 
 def _parenthesized(text: str) -> str:
