--- a/pimentocross/__main__.py
+++ b/pimentocross/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the program by `python -m pimentocross`."""
+"""Entry point of `python -m pimentocross`."""
 
 from pimentocross.cli.main import main
 
--- a/pimentocross/codec.py
+++ b/pimentocross/codec.py
@@ -1,7 +1,7 @@
-"""Typed messages to and from plain arrays: [tag, field, field, ...].
+"""Encodes typed messages as arrays: [tag, field, field, ...].
 
-The arrays travel as msgpack between our processes and as JSON to workers;
-`msgspec` checks each field's type on the way in.
+The arrays are sent as msgpack between entry VMs and as JSON to workers;
+`msgspec` checks the type of each received field.
 """
 
 from collections.abc import Mapping
@@ -13,23 +13,23 @@
 
 
 class MessageError(Exception):
-    """A message of unknown tag or wrong shape came in."""
+    """A received message has an unknown tag or a field of a wrong type."""
 
 
 class MessageTags(Generic[MessageT]):
-    """The message types of one link, each under its tag."""
+    """The message types of one protocol, each with its tag."""
 
     def __init__(self, tags: Mapping[str, type[MessageT]]) -> None:
-        """Registers the types; the tags are part of the wire form."""
+        """Initializes the table; the tags are part of the wire format."""
         self._types = dict(tags)
         self._tags = {cls: tag for tag, cls in tags.items()}
 
     def pack(self, message: MessageT) -> list[Any]:
-        """Returns the array form of a message."""
+        """Encodes a message as an array."""
         return [self._tags[type(message)], *message]
 
     def unpack(self, array: object) -> MessageT:
-        """Returns the message of an array form.
+        """Decodes a message from an array.
 
         Raises:
             MessageError: The tag is unknown or a field has a wrong type.
@@ -47,10 +47,10 @@
 
 
 def convert(value: object, cls: type[MessageT]) -> MessageT:
-    """Returns a value of plain arrays as a typed one.
+    """Converts decoded plain data to a typed tuple and checks its types.
 
     Raises:
-        MessageError: The value has another shape.
+        MessageError: The data does not match the type.
     """
     try:
         converted: MessageT = msgspec.convert(value, cls)
--- a/pimentocross/entry/answerer.py
+++ b/pimentocross/entry/answerer.py
@@ -29,13 +29,13 @@
     CancelJob,
     ConfigInForce,
     Done,
+    DrainWorker,
+    DrainWorkerReply,
     FoldAnswer,
     Heartbeat,
     HeartbeatReply,
     HistogramsAnswer,
     JobsAnswer,
-    LeaveWorker,
-    Left,
     PeerMessage,
     PushTargets,
     RecordsAnswer,
@@ -183,8 +183,10 @@
                 return WhyAnswer(self._reports.explain(subject))
             case AskHistograms():
                 return HistogramsAnswer(self._reports.histograms())
-            case LeaveWorker(worker):
+            case DrainWorker(worker):
                 owners = self._cell_manager.owned.values()
-                return Left(any(owner.drain_worker(worker) for owner in owners))
+                return DrainWorkerReply(
+                    any(owner.drain_worker(worker) for owner in owners)
+                )
             case _:
                 return Refused("not a question")
--- a/pimentocross/entry/caller_api.py
+++ b/pimentocross/entry/caller_api.py
@@ -126,7 +126,7 @@
             request = await read_request(
                 scope,
                 receive,
-                body_most=config.limits.body,
+                max_body_bytes=config.limits.body,
                 timeout=const.REQUEST_BODY_TIMEOUT,
             )
         except RequestTooLargeError:
--- a/pimentocross/entry/forwarder.py
+++ b/pimentocross/entry/forwarder.py
@@ -205,7 +205,7 @@
             tried.add(other.address)
             result = await self._send(call, other)
             if result.is_ok():
-                link.note_silence()
+                link.note_timeout()
             return result
 
         return await self._hedger.send(
--- a/pimentocross/entry/jobs.py
+++ b/pimentocross/entry/jobs.py
@@ -16,8 +16,8 @@
     AskJob,
     CancelJob,
     JobAnswer,
-    Judged,
     PeerMessage,
+    RecordOutcome,
     Refused,
     SubmitJob,
 )
@@ -91,7 +91,7 @@
         cell = cell_of(job)
         deadline = trio.current_time() + timeout
         maybe_sent = False
-        last_reply = Judged(Outcome.NOT_SENT, f"nobody owns {cell} now")
+        last_reply = RecordOutcome(Outcome.NOT_SENT, f"nobody owns {cell} now")
         while trio.current_time() < deadline:
             remaining = deadline - trio.current_time()
             # The owner's timeout is shorter, so that its reply arrives in time.
@@ -111,7 +111,7 @@
             except PeerUnreachableError as error:
                 maybe_sent |= error.sent
                 reply = None
-            if isinstance(reply, Judged):
+            if isinstance(reply, RecordOutcome):
                 last_reply = reply
                 maybe_sent |= reply.outcome == Outcome.UNKNOWN
                 if reply.outcome == Outcome.ACCEPTED:
@@ -134,9 +134,15 @@
             return Error(
                 not_run(503, "no-owner", detail, const.RETRY_AFTER_BUSY)
             )
-        if isinstance(reply, Judged) and reply.outcome == Outcome.ACCEPTED:
+        if (
+            isinstance(reply, RecordOutcome)
+            and reply.outcome == Outcome.ACCEPTED
+        ):
             return Ok(None)
-        if isinstance(reply, Judged) and reply.outcome == Outcome.REJECTED:
+        if (
+            isinstance(reply, RecordOutcome)
+            and reply.outcome == Outcome.REJECTED
+        ):
             return Error(not_run(409, "not-cancelled", reply.reason))
         return Error(_to_problem(reply, False))
 
@@ -209,9 +215,11 @@
     return job.partition(".")[0]
 
 
-def _to_problem(reply: PeerMessage | Judged, maybe_sent: bool) -> Problem:
+def _to_problem(
+    reply: PeerMessage | RecordOutcome, maybe_sent: bool
+) -> Problem:
     reason = "the owner did not answer"
-    if isinstance(reply, Judged | Refused):
+    if isinstance(reply, RecordOutcome | Refused):
         reason = reply.reason
     if maybe_sent:
         return unknown(504, "not-confirmed", reason)
@@ -227,14 +235,14 @@
             return await _accept(owner, message)
         case CancelJob():
             verdict = await owner.cancel(message.job, message.timeout)
-            return Judged(verdict.outcome.value, verdict.reason)
+            return RecordOutcome(verdict.outcome.value, verdict.reason)
         case AskJob():
             return describe_job(owner, message.job)
         case _:
             return Refused("not a question about a cell")
 
 
-async def _accept(owner: CellOwner, message: SubmitJob) -> Judged:
+async def _accept(owner: CellOwner, message: SubmitJob) -> RecordOutcome:
     with log_action("accept", message.trace, job=message.job) as fields:
         verdict = await owner.accept(
             message.job,
@@ -245,7 +253,7 @@
             message.timeout,
         )
         fields.add(outcome=verdict.outcome.value)
-    return Judged(verdict.outcome.value, verdict.reason)
+    return RecordOutcome(verdict.outcome.value, verdict.reason)
 
 
 def describe_job(owner: CellOwner, name: str) -> JobAnswer | Refused:
--- a/pimentocross/entry/membership.py
+++ b/pimentocross/entry/membership.py
@@ -101,7 +101,7 @@
         return [
             link
             for link in self._links.values()
-            if link.identity is not None and link.heard_at >= oldest
+            if link.identity is not None and link.last_reply_at >= oldest
         ]
 
     def link_to(self, process: str) -> EntryLink | None:
--- a/pimentocross/entry/operator_api.py
+++ b/pimentocross/entry/operator_api.py
@@ -34,11 +34,11 @@
     AskVms,
     AskWhy,
     ConfigInForce,
+    DrainWorker,
+    DrainWorkerReply,
     EntryLink,
     HistogramsAnswer,
     JobsAnswer,
-    LeaveWorker,
-    Left,
     PeerMessage,
     StatusAnswer,
     VmsAnswer,
@@ -104,7 +104,7 @@
             request = await read_request(
                 scope,
                 receive,
-                body_most=const.MAX_OPERATOR_BODY_BYTES,
+                max_body_bytes=const.MAX_OPERATOR_BODY_BYTES,
                 timeout=const.REQUEST_BODY_TIMEOUT,
             )
         except RequestTooLargeError:
@@ -279,8 +279,8 @@
             self._begin_drain()
             return json_reply({"vm": name, "state": "leaving"})
         known = self._leave_worker(name)
-        for answer in await self._ask_live_peers(LeaveWorker(name)):
-            known |= isinstance(answer, Left) and answer.known
+        for answer in await self._ask_live_peers(DrainWorker(name)):
+            known |= isinstance(answer, DrainWorkerReply) and answer.known
         if not known:
             detail = f"no live worker {name!r}; ask an entry VM itself to leave"
             return not_run(404, "no-such-vm", detail).reply()
--- a/pimentocross/entry/targets.py
+++ b/pimentocross/entry/targets.py
@@ -99,7 +99,7 @@
         open_links = [
             link
             for link in links
-            if link.has_room and link.address not in tried
+            if link.has_capacity and link.address not in tried
         ]
         if not open_links:
             return None
@@ -180,5 +180,5 @@
     def _update_peer_in_flight(self) -> None:
         for address, link in self._links.items():
             reports = self._peer_in_flight.values()
-            link.elsewhere = sum(r.get(address, 0) for r in reports)
+            link.other_in_flight = sum(r.get(address, 0) for r in reports)
         self.notify_capacity()
--- a/pimentocross/links/__init__.py
+++ b/pimentocross/links/__init__.py
@@ -1,1 +1,1 @@
-"""Links to callers, targets, workers and peers: one module for each."""
+"""HTTP and peer connections: servers, connection pools and messages."""
--- a/pimentocross/links/asgi.py
+++ b/pimentocross/links/asgi.py
@@ -1,4 +1,4 @@
-"""Reads requests and writes replies of HTTP listeners, within limits."""
+"""Reads requests and writes replies of ASGI apps, with size and time limits."""
 
 from collections.abc import Awaitable, Callable, Mapping
 from typing import Any, Final, NamedTuple, TypeAlias
@@ -19,19 +19,19 @@
 
 
 class RequestTooLargeError(Exception):
-    """The body exceeds the listener's limit."""
+    """The request body exceeds the size limit."""
 
 
 class RequestTooSlowError(Exception):
-    """The body did not arrive in time."""
+    """The request body did not arrive in time."""
 
 
 class CallerGoneError(Exception):
-    """The other end closed before it sent the whole body."""
+    """The connection was closed before the whole body had arrived."""
 
 
 class HttpRequest(NamedTuple):
-    """One whole request; header names are in lower case."""
+    """A complete HTTP request; header names are in lower case."""
 
     method: str
     path: str
@@ -40,14 +40,14 @@
     body: bytes
 
     def header(self, name: bytes, default: str = "") -> str:
-        """Returns a header's value, or the default."""
+        """Returns the value of a header, or the default if it is absent."""
         for key, value in self.headers:
             if key == name:
                 return value.decode("latin-1")
         return default
 
     def query_value(self, name: str, default: str = "") -> str:
-        """Returns a query field's value, or the default."""
+        """Returns a query parameter's value, or the default if it is absent."""
         for key, value in parse_qsl(self.query.decode("latin-1")):
             if key == name:
                 return value
@@ -55,7 +55,7 @@
 
 
 class HttpReply(NamedTuple):
-    """One whole reply."""
+    """A complete HTTP response."""
 
     status: int
     headers: Headers
@@ -63,28 +63,28 @@
 
 
 async def read_request(
-    scope: Scope, receive: Receive, *, body_most: int, timeout: float
+    scope: Scope, receive: Receive, *, max_body_bytes: int, timeout: float
 ) -> HttpRequest:
-    """Reads a whole request.
+    """Reads a complete request.
 
     Args:
-        scope: As the server gives it.
-        receive: As the server gives it.
-        body_most: Longest body in bytes.
-        timeout: Seconds in which the body has to arrive.
+        scope: The ASGI connection scope.
+        receive: The ASGI receive callable.
+        max_body_bytes: Maximum size of the body.
+        timeout: Seconds within which the body has to arrive.
 
     Raises:
-        RequestTooLargeError: The body is longer.
-        RequestTooSlowError: It did not arrive in time.
-        CallerGoneError: The other end closed.
+        RequestTooLargeError: The body is larger than `max_body_bytes`.
+        RequestTooSlowError: The body did not arrive in time.
+        CallerGoneError: The connection was closed before the end of the body.
     """
     headers: Headers = list(scope["headers"])
     if not any(name in _BODY_HEADERS for name, _ in headers):
-        # Most requests have no body, and so need no timer for it.
-        body = await _read_body(receive, body_most)
+        # Most requests have no body: this saves the cost of a timer.
+        body = await _read_body(receive, max_body_bytes)
     else:
         with trio.move_on_after(timeout) as waited:
-            body = await _read_body(receive, body_most)
+            body = await _read_body(receive, max_body_bytes)
         if waited.cancelled_caught:
             raise RequestTooSlowError
     path = scope.get("raw_path") or scope["path"].encode("latin-1")
@@ -97,7 +97,7 @@
     )
 
 
-async def _read_body(receive: Receive, body_most: int) -> bytes:
+async def _read_body(receive: Receive, max_body_bytes: int) -> bytes:
     chunks = []
     size = 0
     more = True
@@ -107,14 +107,14 @@
             raise CallerGoneError
         chunks.append(event.get("body", b""))
         size += len(chunks[-1])
-        if size > body_most:
+        if size > max_body_bytes:
             raise RequestTooLargeError
         more = event.get("more_body", False)
     return b"".join(chunks)
 
 
 async def send_reply(send: Send, reply: HttpReply) -> None:
-    """Writes a whole reply."""
+    """Sends a complete response."""
     await send(
         {
             "type": "http.response.start",
@@ -131,7 +131,7 @@
     content_type: bytes = JSON,
     extra: Mapping[str, str] | None = None,
 ) -> HttpReply:
-    """Returns a JSON reply."""
+    """Returns a response with a JSON body and `extra` as further headers."""
     content = msgspec.json.encode(body)
     headers = [
         (b"content-type", content_type),
--- a/pimentocross/links/framing.py
+++ b/pimentocross/links/framing.py
@@ -1,4 +1,4 @@
-"""msgpack frames over a byte stream: a length, then one array."""
+"""Frames on a byte stream: a 32-bit length, then a msgpack array."""
 
 import struct
 from typing import Any, Final
@@ -8,16 +8,16 @@
 
 _LENGTH: Final = struct.Struct(">I")
 _CHUNK: Final = 65536
-# The library names it in a way that type checkers do not follow.
+# msgpack defines this name in a way that type checkers can't resolve.
 _unpackb: Final[Any] = msgpack.__dict__["unpackb"]
 
 
 class FrameError(Exception):
-    """The stream broke the framing, or ended within a frame."""
+    """The stream has an invalid frame, or ended within a frame."""
 
 
 class FrameStream:
-    """Sends and receives frames.
+    """Sends and receives msgpack arrays as frames.
 
     Attributes:
         sent: Bytes sent.
@@ -25,7 +25,7 @@
     """
 
     def __init__(self, stream: trio.abc.Stream) -> None:
-        """Wraps a byte stream and owns it."""
+        """Wraps a byte stream, which `aclose` closes."""
         self.sent = 0
         self.received = 0
         self._stream = stream
@@ -36,7 +36,7 @@
         """Sends one frame.
 
         Raises:
-            trio.BrokenResourceError: The connection is gone.
+            trio.BrokenResourceError: The connection is lost.
         """
         content = msgpack.packb(array)
         frame = _LENGTH.pack(len(content)) + content
@@ -44,18 +44,19 @@
             await self._stream.send_all(frame)
         self.sent += len(frame)
 
-    async def receive(self, most: int) -> list[Any] | None:
-        """Receives one frame, or None at the end of the stream.
+    async def receive(self, max_bytes: int) -> list[Any] | None:
+        """Returns the next frame's array, or None at the end of the stream.
 
         Raises:
-            FrameError: The frame is too long or not a msgpack array.
-            trio.BrokenResourceError: The connection is gone.
+            FrameError: The frame is longer than `max_bytes`, is incomplete or
+                is not a msgpack array.
+            trio.BrokenResourceError: The connection is lost.
         """
         if not await self._fill(_LENGTH.size):
             return None
         (length,) = _LENGTH.unpack_from(self._buffer)
-        if length > most:
-            raise FrameError(f"frame of {length} bytes, at most {most}")
+        if length > max_bytes:
+            raise FrameError(f"frame of {length} bytes, at most {max_bytes}")
         if not await self._fill(_LENGTH.size + length):
             raise FrameError("the stream ended within a frame")
         content = bytes(self._buffer[_LENGTH.size : _LENGTH.size + length])
@@ -63,7 +64,7 @@
         return _unpack(content)
 
     async def aclose(self) -> None:
-        """Closes the stream."""
+        """Closes the stream without a graceful shutdown."""
         await trio.aclose_forcefully(self._stream)
 
     async def _fill(self, size: int) -> bool:
--- a/pimentocross/links/greeting.py
+++ b/pimentocross/links/greeting.py
@@ -1,12 +1,12 @@
-"""How two entry VMs prove to each other that they hold the cluster's key.
+"""The handshake by which two entry VMs prove that they have the cluster's key.
 
     dialer -> [version, cluster, nonce]
     answer <- [version, nonce, proof]      or ["refused", reason]
     dialer -> [proof, process, name, address, zone]
     answer <- [process, name, address, zone]
 
-A proof is an HMAC over the side and both nonces. Two keys are valid while
-one is replaced by the other; each side proves with its first.
+A proof is an HMAC over the name of the side and both nonces. While a key is
+being replaced, both keys are valid; each side signs with its first key.
 """
 
 from collections.abc import Sequence
@@ -19,21 +19,21 @@
 from pimentocross.links import const
 from pimentocross.links.framing import FrameError, FrameStream
 
-_ReadT = TypeVar("_ReadT", bound=tuple[Any, ...])
+_MessageT = TypeVar("_MessageT", bound=tuple[Any, ...])
 
 
 class GreetingError(Exception):
-    """The other side is not one of ours, or is of another version."""
+    """The peer has no valid key, another cluster or another version."""
 
 
 class PeerIdentity(NamedTuple):
-    """Who a process is.
+    """Identifies an entry VM's process.
 
     Attributes:
-        process: Its id, unique for ever.
-        name: Its VM's name.
-        address: Its peer listener, as host:port.
-        zone: Its availability zone.
+        process: Id of the process, which is never reused.
+        name: Name of the VM.
+        address: Address of its peer listener, as host:port.
+        zone: Availability zone of the VM.
     """
 
     process: str
@@ -43,7 +43,7 @@
 
 
 class Credentials(NamedTuple):
-    """Cluster name and the keys that are valid now, the one to use first."""
+    """The cluster's name and its valid keys; proofs use the first key."""
 
     cluster: str
     keys: Sequence[bytes]
@@ -70,13 +70,13 @@
 
 
 async def greet(
-    frames: FrameStream, mine: PeerIdentity, credentials: Credentials
+    frames: FrameStream, local_identity: PeerIdentity, credentials: Credentials
 ) -> PeerIdentity:
-    """Greets as the dialing side; returns who answered.
+    """Runs the handshake as the dialing side; returns the peer's identity.
 
     Raises:
-        GreetingError: It refused, or did not prove the key.
-        FrameError: It broke the framing.
+        GreetingError: The peer refused, or did not prove that it has a key.
+        FrameError: The peer sent an invalid frame.
     """
     nonce = secrets.token_bytes(const.NONCE_BYTES)
     opening = _Opening(const.PROTOCOL_VERSION, credentials.cluster, nonce)
@@ -85,18 +85,19 @@
     nonces = nonce + challenge.nonce
     _verify(challenge.proof, b"answer", nonces, credentials)
     proof = _prove(b"dialer", nonces, credentials.keys[0])
-    await frames.send([proof, *mine])
+    await frames.send([proof, *local_identity])
     return _read(await _receive(frames), PeerIdentity)
 
 
 async def answer_greeting(
-    frames: FrameStream, mine: PeerIdentity, credentials: Credentials
+    frames: FrameStream, local_identity: PeerIdentity, credentials: Credentials
 ) -> PeerIdentity:
-    """Greets as the answering side; returns who dialed.
+    """Runs the handshake as the listener; returns the peer's identity.
 
     Raises:
-        GreetingError: It did not prove the key, or is of another kind.
-        FrameError: It broke the framing.
+        GreetingError: The peer did not prove that it has a key, or has another
+            version or cluster.
+        FrameError: The peer sent an invalid frame.
     """
     opening = _read(await _receive(frames), _Opening)
     if opening.version != const.PROTOCOL_VERSION:
@@ -110,12 +111,12 @@
     await frames.send([const.PROTOCOL_VERSION, nonce, proof])
     reply = _read(await _receive(frames), _Proof)
     _verify(reply.proof, b"dialer", nonces, credentials)
-    await frames.send(list(mine))
+    await frames.send(list(local_identity))
     return PeerIdentity(reply.process, reply.name, reply.address, reply.zone)
 
 
 async def _receive(frames: FrameStream) -> list[Any]:
-    array = await frames.receive(const.GREETING_FRAME_MOST)
+    array = await frames.receive(const.MAX_GREETING_FRAME_BYTES)
     if array is None:
         raise GreetingError("closed during the greeting")
     if len(array) == 2 and array[0] == "refused":
@@ -128,7 +129,7 @@
     raise GreetingError(reason)
 
 
-def _read(array: list[Any], cls: type[_ReadT]) -> _ReadT:
+def _read(array: list[Any], cls: type[_MessageT]) -> _MessageT:
     try:
         return convert(array, cls)
     except MessageError as error:
--- a/pimentocross/links/headers.py
+++ b/pimentocross/links/headers.py
@@ -1,4 +1,4 @@
-"""Names of the headers that callers, entry VMs and targets exchange."""
+"""Names of HTTP headers between callers, entry VMs and targets."""
 
 from typing import Final
 
--- a/pimentocross/links/http_pool.py
+++ b/pimentocross/links/http_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to one address, each for one request at a time."""
+"""A pool of HTTP/1.1 keep-alive connections to one address."""
 
 from typing import Final
 
@@ -15,27 +15,27 @@
 
 
 class HttpCallError(Exception):
-    """No whole answer.
+    """An HTTP call got no complete answer.
 
     Attributes:
-        sent: True if the request may have arrived, or still may.
+        sent: True if the request may have arrived or may still arrive.
     """
 
     def __init__(self, reason: str, *, sent: bool) -> None:
-        """Notes the reason and whether the request may have arrived."""
+        """Initializes the error; `sent` is False if no request was sent."""
         super().__init__(reason)
         self.sent = sent
 
 
 class HttpPool:
-    """Connections to host:port.
+    """Keep-alive connections to one address, one request on each at a time.
 
-    A connection whose answer did not come in time is closed: it may have gone
-    silent, and a late answer must not be taken for that of a later request.
+    A connection whose answer did not come in time is closed: it may be dead,
+    and a late answer must not be taken for the answer to a later request.
     """
 
     def __init__(self, address: str) -> None:
-        """Connects with the first call."""
+        """Initializes an empty pool for host:port; calls open connections."""
         self._address = address
         self._idle: list[TargetConnection] = []
 
@@ -47,10 +47,10 @@
         timeout: float,
         headers: Headers = _NO_HEADERS,
     ) -> HttpReply:
-        """Sends one request and returns the whole answer.
+        """Sends one request and returns the complete answer.
 
         Raises:
-            HttpCallError: There is none in time.
+            HttpCallError: There was no complete answer within `timeout`.
         """
         path, _, query = target.partition("?")
         request = HttpRequest(method, path, query.encode(), headers, body)
@@ -58,7 +58,7 @@
         sent = False
         try:
             with trio.fail_after(timeout):
-                connection = await self._take()
+                connection = await self._acquire()
                 sent = True
                 reply = await connection.exchange(request, [])
         except trio.TooSlowError as error:
@@ -75,7 +75,7 @@
             if connection is not None:
                 await connection.aclose()
 
-    async def _take(self) -> TargetConnection:
+    async def _acquire(self) -> TargetConnection:
         while self._idle:
             connection = self._idle.pop()
             if connection.reusable and not connection.is_stale():
@@ -84,6 +84,6 @@
         return await connect_target(self._address)
 
     async def aclose(self) -> None:
-        """Closes the connections that are kept."""
+        """Closes the idle connections."""
         while self._idle:
             await self._idle.pop().aclose()
--- a/pimentocross/links/http_server.py
+++ b/pimentocross/links/http_server.py
@@ -1,4 +1,4 @@
-"""Serves an ASGI app on one address."""
+"""Serves an ASGI app over HTTP on one address, with hypercorn."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, Final, NamedTuple
@@ -13,11 +13,11 @@
 _READ_TIMEOUT: Final = 60
 
 
-class _PromptTcpServer(tcp_server.TCPServer):
-    """Lets a connection go as soon as the other side has closed it.
+class _PromptClosingTcpServer(tcp_server.TCPServer):
+    """Releases a connection as soon as the other side has closed it.
 
-    The library holds it, and its file, for the whole idle timeout, so that a
-    flood of closed connections kept others out for as long.
+    hypercorn keeps a closed connection and its file descriptor until the idle
+    timeout, so that a flood of closed connections blocked new ones as long.
     """
 
     async def _read_data(self) -> None:
@@ -25,24 +25,24 @@
         await self.idle_task.stop()
 
 
-# The library makes its connections under this name.
-run.TCPServer = _PromptTcpServer  # type: ignore[attr-defined]
+# hypercorn creates its connections by this name.
+run.TCPServer = _PromptClosingTcpServer  # type: ignore[attr-defined]
 
 
 class HttpListener(NamedTuple):
-    """Limits of one listener.
+    """Address and limits of one listener.
 
     Attributes:
-        host: IP number to listen on.
-        port: Port, 0 for any free one.
-        headers_most: Longest head of a request in bytes.
+        host: IP address to listen on.
+        port: Port to listen on, 0 for any free one.
+        max_header_bytes: Maximum size of a request line and its headers.
         idle_timeout: Seconds after which an idle connection is closed.
-        graceful_timeout: Seconds that a stop lets requests finish.
+        graceful_timeout: Seconds that running requests have at shutdown.
     """
 
     host: str
     port: int
-    headers_most: int = 16 * 1024
+    max_header_bytes: int = 16 * 1024
     idle_timeout: float = 10.0
     graceful_timeout: float = 10.0
 
@@ -54,11 +54,11 @@
     *,
     task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serves until `shutdown` returns; reports the port once it listens."""
+    """Serves `app` until `shutdown` returns; reports the port when ready."""
     config = Config()
     config.bind = [f"{listener.host}:{listener.port}"]
     config.backlog = _BACKLOG
-    config.h11_max_incomplete_size = listener.headers_most
+    config.h11_max_incomplete_size = listener.max_header_bytes
     config.keep_alive_timeout = listener.idle_timeout
     config.keep_alive_max_requests = 1_000_000
     config.graceful_timeout = listener.graceful_timeout
@@ -83,7 +83,7 @@
 
 
 def _http_only(app: App) -> App:
-    """Returns an app that answers the server's start and stop as well."""
+    """Wraps an HTTP app: handles lifespan events and refuses WebSockets."""
 
     async def wrapped(scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] == "http":
--- a/pimentocross/links/listener.py
+++ b/pimentocross/links/listener.py
@@ -1,8 +1,8 @@
-"""A small HTTP/1.1 listener on `h11`, for processes that must start fast.
+"""A small HTTP/1.1 server on `h11`, for processes that must start fast.
 
-`hypercorn`, which the operators' listener uses, takes 0.11 s of processor time
-to import and offers no way to answer on open connections while new ones are
-still accepted during a drain; it is built on the same `h11`.
+`hypercorn`, which serves the operators' API, takes 0.11 s of CPU time to import
+and can't answer on open connections while new ones are still accepted during a
+drain. It is built on `h11` too.
 """
 
 from collections.abc import Awaitable, Callable
@@ -20,7 +20,7 @@
 
 
 class ListenerLimits(NamedTuple):
-    """Bounds of requests; sizes in bytes, times in seconds."""
+    """Size limits of requests, and timeouts in seconds."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 256 * 1024
@@ -29,21 +29,21 @@
 
 
 class _TooLargeError(Exception):
-    """The body is longer than allowed."""
+    """The request body exceeds the size limit."""
 
 
 class HttpListener:
-    """Answers requests on one address.
+    """Serves HTTP/1.1 requests on one address.
 
     Attributes:
-        open_connections: Connections that stand.
-        in_flight: Requests read and not yet answered.
+        open_connections: Number of open connections.
+        in_flight: Number of requests received and not yet answered.
     """
 
     def __init__(
         self, handler: Handler, limits: Callable[[], ListenerLimits]
     ) -> None:
-        """Takes what answers, and the limits in force."""
+        """Initializes the server; each connection reads `limits` once."""
         self.open_connections = 0
         self.in_flight = 0
         self._handler = handler
@@ -51,7 +51,7 @@
         self._draining = False
 
     def drain(self) -> None:
-        """Closes each connection after its next answer."""
+        """Makes every connection close after its next answer."""
         self._draining = True
 
     async def serve(
@@ -60,7 +60,7 @@
         *,
         task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Listens on host:port until cancelled; reports the port."""
+        """Serves on host:port until cancelled; reports the port when ready."""
         host, _, port = address.rpartition(":")
         listeners = await trio.open_tcp_listeners(
             int(port), host=host, backlog=_BACKLOG
@@ -69,7 +69,7 @@
         await trio.serve_listeners(self.serve_connection, listeners)
 
     async def serve_connection(self, stream: trio.abc.Stream) -> None:
-        """Answers the requests of one connection."""
+        """Serves the requests of one connection, then closes it."""
         self.open_connections += 1
         try:
             await self._serve(stream)
@@ -80,7 +80,8 @@
             trio.TooSlowError,
             h11.LocalProtocolError,
         ):
-            # The caller has gone, or went on too slowly: nobody to tell.
+            # The caller has closed the connection or reads too slowly, so no
+            # error response can be sent.
             pass
         finally:
             self.open_connections -= 1
--- a/pimentocross/links/messages.py
+++ b/pimentocross/links/messages.py
@@ -1,4 +1,7 @@
-"""Messages between entry VMs."""
+"""Messages between entry VMs: requests, and answers to them.
+
+They are packed by position, so the order of fields is part of the wire format.
+"""
 
 from typing import Any, NamedTuple, TypeAlias
 
@@ -9,14 +12,14 @@
 
 
 class Heartbeat(NamedTuple):
-    """A peer lives; also asks for a statement on ownership.
+    """Reports that the sender is alive and asks for a `HeartbeatReply`.
 
     Attributes:
         config: Configuration version in force at the sender.
-        in_flight: Requests that it has at targets, by address.
-        cells: Cells it owns: name, epoch, pending tasks, free slots.
+        in_flight: Number of its requests at each target, by address.
+        cells: Cells that it owns: name, epoch, pending tasks, free slots.
         takes_over: Whether it may claim cells: all earlier members have
-            acknowledged it, and it is not about to stop.
+            acknowledged it, and it is not stopping.
     """
 
     config: int
@@ -26,13 +29,14 @@
 
 
 class HeartbeatReply(NamedTuple):
-    """A statement on ownership; see `authority.Statement`.
+    """How far the peer has read the stream; see `authority.Statement`.
 
     Attributes:
-        position: The answerer's position in the ownership stream.
-        read_age: Seconds since it sent the read that reached the end.
-        acknowledged: Newcomers that it has promised to ask.
-        config: Configuration version in force there.
+        position: The peer's position in the ownership stream.
+        read_age: Seconds since it sent the latest read that reached the
+            stream's end, or None if no read has reached it.
+        acknowledged: New members that it has acknowledged.
+        config: Configuration version in force at the peer.
     """
 
     position: int
@@ -42,19 +46,19 @@
 
 
 class Acknowledge(NamedTuple):
-    """A newcomer asks to be asked under rule 1."""
+    """Asks to include a new member under rule 1; see `authority`."""
 
     process: str
 
 
 class Acknowledged(NamedTuple):
-    """Whether the newcomer will be asked."""
+    """Whether the peer includes the new member in rule 1 from now on."""
 
     promised: bool
 
 
 class PushTargets(NamedTuple):
-    """Where the services of one cell answer, in place of what was sent."""
+    """All service targets of one cell; replaces those sent before."""
 
     cell: str
     epoch: int
@@ -63,13 +67,13 @@
 
 
 class Done(NamedTuple):
-    """Taken in."""
+    """Confirms a request that has no other answer."""
 
 
 class SubmitJob(NamedTuple):
-    """A job for a cell that the asked one owns; idempotent by its id.
+    """Submits a job to the owner of a cell; idempotent by the job's id.
 
-    `trace` is where the log's action tree goes on, or "".
+    `trace` is the id at which the log's action tree continues, or "".
     """
 
     cell: str
@@ -83,37 +87,38 @@
 
 
 class CancelJob(NamedTuple):
-    """A cancellation for the cell's owner."""
+    """Asks the cell's owner to cancel a job."""
 
     cell: str
     job: str
     timeout: float
 
 
-class Judged(NamedTuple):
-    """What became of a record that was asked for; see `fold.Verdict`."""
+class RecordOutcome(NamedTuple):
+    """The outcome of publishing a record; see `outbox.Verdict`."""
 
     outcome: str
     reason: str
 
 
 class AskJob(NamedTuple):
-    """Asks the cell's owner for a job."""
+    """Asks the cell's owner for the state of a job."""
 
     cell: str
     job: str
 
 
 class JobAnswer(NamedTuple):
-    """A job as its cell's owner knows it.
+    """The state of a job, from its cell's owner.
 
     Attributes:
-        state: "accepted", "finished", "failed" or "cancelled"; "" unknown.
-        class_name: Its batch class.
-        tasks: How many tasks it has.
-        finished: How many of them have finished.
+        state: "accepted", "finished", "failed" or "cancelled", or "" if the
+            job is unknown.
+        class_name: Batch class of the job.
+        tasks: Number of its tasks.
+        finished: Number of its finished tasks.
         results: Results of finished tasks, in the order of their indexes.
-        reason: Why it failed, or "".
+        reason: Why the job failed, or "".
     """
 
     state: str
@@ -125,35 +130,35 @@
 
 
 class AskWhy(NamedTuple):
-    """Asks for the deciding reason of a job, task or worker."""
+    """Asks for reasons that explain the state of a job, task or worker."""
 
     subject: str
 
 
 class WhyAnswer(NamedTuple):
-    """Reasons, one a line; empty if the subject is not known there."""
+    """One line for each reason; none if the peer doesn't know the subject."""
 
     reasons: list[str]
 
 
-class LeaveWorker(NamedTuple):
-    """Asks the owner to empty a worker."""
+class DrainWorker(NamedTuple):
+    """Asks the owner to drain a worker."""
 
     worker: str
 
 
-class Left(NamedTuple):
-    """Whether the worker is known there and is being emptied."""
+class DrainWorkerReply(NamedTuple):
+    """Whether the peer knows the worker and drains it."""
 
     known: bool
 
 
 class AskStatus(NamedTuple):
-    """Asks an entry VM what it does."""
+    """Asks for the status of an entry VM."""
 
 
 class CellStatus(NamedTuple):
-    """A cell as its owner sees it."""
+    """The status of a cell, from its owner."""
 
     cell: str
     epoch: int
@@ -166,7 +171,7 @@
 
 
 class StatusAnswer(NamedTuple):
-    """What an entry VM does."""
+    """The status of an entry VM."""
 
     name: str
     process: str
@@ -181,11 +186,11 @@
 
 
 class AskVms(NamedTuple):
-    """Asks an owner for its workers."""
+    """Asks for the workers of the cells that the peer owns."""
 
 
 class WorkerStatus(NamedTuple):
-    """A worker as its cell's owner sees it."""
+    """The status of a worker, from its cell's owner."""
 
     worker: str
     cell: str
@@ -197,19 +202,19 @@
 
 
 class VmsAnswer(NamedTuple):
-    """Workers of the cells owned there."""
+    """The workers of the cells that the peer owns."""
 
     workers: list[WorkerStatus]
 
 
 class AskJobs(NamedTuple):
-    """Asks an owner for its jobs, newest last."""
+    """Asks for at most `most` jobs of the cells that the peer owns."""
 
     most: int
 
 
 class JobStatus(NamedTuple):
-    """A job in a list."""
+    """One job in a `JobsAnswer`."""
 
     job: str
     class_name: str
@@ -220,19 +225,19 @@
 
 
 class JobsAnswer(NamedTuple):
-    """Jobs of the cells owned there."""
+    """Jobs of the cells that the peer owns, newest last."""
 
     jobs: list[JobStatus]
 
 
 class AskFold(NamedTuple):
-    """Asks for the whole fold of a stream that all entry VMs read."""
+    """Asks for the state folded from a stream that all entry VMs read."""
 
     stream: str
 
 
 class FoldAnswer(NamedTuple):
-    """A fold; position -1 if there is none. See `fold.FoldDump`."""
+    """A `fold.FoldDump`; `position` is -1 if the peer has none."""
 
     position: int
     state: dict[str, Any]
@@ -240,34 +245,34 @@
 
 
 class AskRecords(NamedTuple):
-    """Asks for the records of a stream from an offset on."""
+    """Asks for the records of a stream from the offset `start` on."""
 
     stream: str
     start: int
 
 
 class RecordsAnswer(NamedTuple):
-    """Records with their offsets; `known` False if not all are kept."""
+    """Records with offsets; `known` is False if the peer lacks some."""
 
     known: bool
     records: list[tuple[int, dict[str, Any]]]
 
 
 class WaitConfig(NamedTuple):
-    """Asks to be answered once a configuration version is in force."""
+    """Asks for an answer when a configuration version is in force."""
 
     version: int
     timeout: float
 
 
 class ConfigInForce(NamedTuple):
-    """The configuration version in force."""
+    """The configuration version in force at the peer."""
 
     version: int
 
 
 class AskKey(NamedTuple):
-    """Asks the process that claimed an idempotency key how it ended."""
+    """Asks the claimant of an idempotency key how the request ended."""
 
     key: str
     timeout: float
@@ -278,9 +283,9 @@
 
     Attributes:
         state: "done", "released" or "unknown".
-        status: Status of the answer.
-        content_type: Its content type.
-        body: Its body.
+        status: HTTP status of the answer.
+        content_type: Content type of the answer.
+        body: Body of the answer.
     """
 
     state: str
@@ -294,13 +299,13 @@
 
 
 class HistogramsAnswer(NamedTuple):
-    """Histograms by label, in the library's own encoding."""
+    """Kind, name and HdrHistogram encoding of each histogram."""
 
     histograms: list[tuple[str, str, bytes]]
 
 
 class Refused(NamedTuple):
-    """The question could not be answered."""
+    """The request could not be answered."""
 
     reason: str
 
@@ -314,13 +319,13 @@
     | Done
     | SubmitJob
     | CancelJob
-    | Judged
+    | RecordOutcome
     | AskJob
     | JobAnswer
     | AskWhy
     | WhyAnswer
-    | LeaveWorker
-    | Left
+    | DrainWorker
+    | DrainWorkerReply
     | AskStatus
     | StatusAnswer
     | AskVms
@@ -340,7 +345,7 @@
     | Refused
 )
 
-# The tags are part of the wire form: one is never used again for another.
+# The tags are part of the wire format: a removed tag is never reused.
 PEER_MESSAGES: MessageTags[PeerMessage] = MessageTags(
     {
         "hb": Heartbeat,
@@ -351,13 +356,13 @@
         "done": Done,
         "submit": SubmitJob,
         "cancel": CancelJob,
-        "judged": Judged,
+        "judged": RecordOutcome,
         "job": AskJob,
         "job+": JobAnswer,
         "why": AskWhy,
         "why+": WhyAnswer,
-        "leave": LeaveWorker,
-        "leave+": Left,
+        "leave": DrainWorker,
+        "leave+": DrainWorkerReply,
         "status": AskStatus,
         "status+": StatusAnswer,
         "vms": AskVms,
--- a/pimentocross/links/target.py
+++ b/pimentocross/links/target.py
@@ -1,4 +1,4 @@
-"""Links to targets: connections kept, answers in whole, limits learned."""
+"""Sends requests to targets over pooled connections, within limits."""
 
 import trio
 
@@ -14,32 +14,38 @@
 
 
 class TargetError(Exception):
-    """A target did not answer.
+    """A target gave no complete answer.
 
     Attributes:
-        sent: True if any byte of the request may have reached it.
+        sent: True if any byte of the request may have reached the target.
     """
 
     def __init__(self, reason: str, *, sent: bool) -> None:
-        """Notes the reason and whether the request may have arrived."""
+        """Initializes the error; `sent` is False if no request was sent."""
         super().__init__(reason)
         self.sent = sent
 
 
 class TargetLink:
-    """Connections from this entry VM to one target.
+    """Connection pool, concurrency limit and health of one target.
 
     Attributes:
-        in_flight: Requests that wait for its answer.
-        elsewhere: Requests that other entry VMs have there, as last told.
-        silences: Connections that were closed since no answer came.
+        in_flight: Requests from this entry VM that wait for an answer.
+        other_in_flight: Requests that other entry VMs have at the target, as
+            last reported.
+        timeout_count: Requests that got no answer in time.
     """
 
     def __init__(self, address: str, concurrency: int) -> None:
-        """Takes host:port and the requests that it runs at once."""
+        """Initializes the link to host:port.
+
+        Args:
+            address: The target, as host:port.
+            concurrency: Requests that the target processes at once.
+        """
         self.in_flight = 0
-        self.elsewhere = 0
-        self.silences = 0
+        self.other_in_flight = 0
+        self.timeout_count = 0
         self._address = address
         self._concurrency = concurrency
         self._limit = AdaptiveLimit(concurrency)
@@ -50,31 +56,33 @@
 
     @property
     def address(self) -> str:
-        """host:port."""
+        """The target's address, as host:port."""
         return self._address
 
     @property
     def limit(self) -> AdaptiveLimit:
-        """How many requests it may have in flight."""
+        """The adaptive limit of requests in flight at the target."""
         return self._limit
 
     @property
     def ejected(self) -> bool:
-        """True while it gets nothing since its answers failed."""
+        """True while no requests are sent because of repeated failures."""
         return trio.current_time() < self._ejected_until
 
     @property
     def load(self) -> float:
-        """Requests in flight, from everywhere, over what it runs at once."""
-        return (self.in_flight + self.elsewhere) / max(self._concurrency, 1)
+        """Requests in flight from all entry VMs, divided by the concurrency."""
+        return (self.in_flight + self.other_in_flight) / max(
+            self._concurrency, 1
+        )
 
     @property
-    def has_room(self) -> bool:
-        """True if another request may be sent now."""
-        return self.in_flight + self.elsewhere < self._limit.limit
+    def has_capacity(self) -> bool:
+        """True if the limit admits another request."""
+        return self.in_flight + self.other_in_flight < self._limit.limit
 
     def set_concurrency(self, concurrency: int) -> None:
-        """Takes a changed number of requests that it runs at once."""
+        """Sets the concurrency; a change resets the adaptive limit."""
         if concurrency != self._concurrency:
             self._concurrency = concurrency
             self._limit = AdaptiveLimit(concurrency)
@@ -82,17 +90,17 @@
     async def send(
         self, request: HttpRequest, extra: Headers, timeout: float
     ) -> HttpReply:
-        """Sends a request and returns the whole answer.
+        """Sends a request and returns the complete answer.
 
         Raises:
-            TargetError: No answer, or only a part of one.
+            TargetError: There was no complete answer within `timeout`.
         """
         began = trio.current_time()
         connected = False
         self.in_flight += 1
         try:
             with trio.fail_after(timeout):
-                connection = await self._connection()
+                connection = await self._acquire()
                 connected = True
                 try:
                     reply = await connection.exchange(request, extra)
@@ -104,39 +112,39 @@
             self.note_failure()
             raise
         except trio.TooSlowError as error:
-            self.note_silence()
+            self.note_timeout()
             raise TargetError("no answer in time", sent=connected) from error
         except TargetConnectionError as error:
             self.note_failure()
             raise TargetError(str(error), sent=True) from error
         finally:
             self.in_flight -= 1
-        await self._keep(connection)
+        await self._release(connection)
         self._failures = 0
         self._limit.note_answer(trio.current_time() - began)
         return reply
 
-    def note_silence(self) -> None:
-        """Counts an answer that was late; kept connections are suspect.
+    def note_timeout(self) -> None:
+        """Records a timeout and takes all idle connections out of use.
 
-        What lies between may have lost track of them all, while a fresh one
-        works, so the next request is sent on a fresh one.
+        The network between may have lost the state of all of them while a new
+        connection works, so the next request opens a new one.
         """
-        self.silences += 1
+        self.timeout_count += 1
         self._suspect, self._idle = [*self._suspect, *self._idle], []
         self.note_failure()
 
     def note_failure(self) -> None:
-        """Counts a failure; after several in a row it is ejected."""
+        """Records a failure; several in a row eject the target."""
         self._failures += 1
         self._limit.note_failure()
         if self._failures >= EJECT_AFTER_FAILURES:
-            # Once back, a single failure ejects it again.
+            # After its return, a single failure ejects the target again.
             self._failures = EJECT_AFTER_FAILURES - 1
             self._ejected_until = trio.current_time() + EJECT_DURATION
 
     async def aclose(self) -> None:
-        """Closes the kept connections."""
+        """Closes the idle connections."""
         await self._close_suspect()
         while self._idle:
             await self._idle.pop().aclose()
@@ -145,21 +153,24 @@
         while self._suspect:
             await self._suspect.pop().aclose()
 
-    async def _connection(self) -> TargetConnection:
+    async def _acquire(self) -> TargetConnection:
         if self._suspect:
             await self._close_suspect()
         while self._idle:
-            kept = self._idle.pop()
-            if kept.reusable and not kept.is_stale():
-                return kept
-            await kept.aclose()
+            idle = self._idle.pop()
+            if idle.reusable and not idle.is_stale():
+                return idle
+            await idle.aclose()
         try:
             return await connect_target(self._address)
         except (OSError, trio.TooSlowError) as error:
             raise TargetError("no connection", sent=False) from error
 
-    async def _keep(self, connection: TargetConnection) -> None:
-        if connection.reusable and len(self._idle) < const.TARGET_IDLE_KEPT:
+    async def _release(self, connection: TargetConnection) -> None:
+        if (
+            connection.reusable
+            and len(self._idle) < const.MAX_IDLE_TARGET_CONNECTIONS
+        ):
             self._idle.append(connection)
         else:
             await connection.aclose()
--- a/pimentocross/links/target_connection.py
+++ b/pimentocross/links/target_connection.py
@@ -1,9 +1,9 @@
 """One HTTP/1.1 connection to a target, for one request at a time.
 
-Answers in their plain form are read here, all others by `h11`, which both HTTP
-libraries of the house build on: their own connection classes take locks and set
-timers for uses that a forwarder has not, at a fifth of the processor time of a
-forwarded request.
+Answers that have a content length are parsed here, all others by `h11`. The
+connection classes of hypercorn and httpcore, which build on `h11` too, take
+locks and set timers that a forwarder doesn't need: these cost a fifth of the
+CPU time of a forwarded request.
 """
 
 import select
@@ -17,53 +17,54 @@
 from pimentocross.links.asgi import Headers, HttpReply, HttpRequest
 from pimentocross.links.plain_http import (
     HEAD_END,
-    HEAD_MOST,
     HOP_HEADERS,
+    MAX_HEAD_BYTES,
     PlainHead,
     read_head,
     write_head,
 )
 
-_SET_HERE: Final = frozenset({b"host", b"content-length"})
+_GENERATED_HEADERS: Final = frozenset({b"host", b"content-length"})
 _BODY_METHODS: Final = frozenset({"POST", "PUT", "PATCH"})
-# Methods whose answers aren't what their heads say.
-_NO_PLAIN_ANSWER: Final = frozenset({"HEAD", "CONNECT"})
+# Methods whose answers have no body, whatever their content length says.
+_METHODS_WITHOUT_PLAIN_ANSWER: Final = frozenset({"HEAD", "CONNECT"})
 _CHUNK: Final = 65536
-_NOW: Final = 0
+_NO_WAIT: Final = 0
 
 
 class TargetConnectionError(Exception):
-    """The connection broke, or the target broke the protocol."""
+    """The connection was lost, or the target violated the protocol."""
 
 
 class TargetConnection:
-    """A connection that stands."""
+    """An open connection to a target."""
 
     def __init__(self, stream: trio.SocketStream, address: str) -> None:
-        """Takes a connected stream and owns it."""
+        """Wraps a connected stream, which `aclose` closes."""
         self._stream = stream
         self._host = address.encode()
-        # False while an answer is owed, and once no other can follow.
+        # False while an answer is pending, and once the connection can carry no
+        # further request.
         self._open = True
         self._used_at = trio.current_time()
 
     @property
     def reusable(self) -> bool:
-        """True if the next request may be sent on it."""
+        """True if another request may be sent on this connection."""
         idle_for = trio.current_time() - self._used_at
         return self._open and idle_for < const.TARGET_KEEP_ALIVE
 
     def is_stale(self) -> bool:
-        """True if the other side has closed it while it was kept."""
+        """Returns whether the target closed or wrote to the idle connection."""
         poll = select.poll()
         poll.register(self._stream.socket.fileno(), select.POLLIN)
-        return bool(poll.poll(_NOW))
+        return bool(poll.poll(_NO_WAIT))
 
     async def exchange(self, request: HttpRequest, extra: Headers) -> HttpReply:
-        """Sends a request and returns the whole answer.
+        """Sends a request and returns the complete answer.
 
         Raises:
-            TargetConnectionError: There is no whole answer.
+            TargetConnectionError: There is no complete and valid answer.
         """
         self._open = False
         headers = self._headers(request, extra)
@@ -81,15 +82,16 @@
         return reply
 
     async def aclose(self) -> None:
-        """Closes it at once."""
+        """Closes the connection without a graceful shutdown."""
         await trio.aclose_forcefully(self._stream)
 
     def _headers(self, request: HttpRequest, extra: Headers) -> Headers:
-        """Returns a request's headers but the host."""
+        """Returns the headers to send, without `host`."""
         headers = [
             header
             for header in request.headers
-            if header[0] not in HOP_HEADERS and header[0] not in _SET_HERE
+            if header[0] not in HOP_HEADERS
+            and header[0] not in _GENERATED_HEADERS
         ]
         if request.body or request.method in _BODY_METHODS:
             headers.append((b"content-length", b"%d" % len(request.body)))
@@ -97,7 +99,7 @@
         return headers
 
     def _encode(self, request: HttpRequest, headers: Headers) -> bytes:
-        """Returns the whole request, so that it goes out in one piece."""
+        """Returns the whole request, to be sent with one write."""
         head = write_head(request.method, _target(request), self._host, headers)
         if head is None:
             raise TargetConnectionError("the request can't be written")
@@ -107,38 +109,48 @@
         self, request: HttpRequest, headers: Headers
     ) -> HttpReply:
         received = chunk = await self._stream.receive_some(_CHUNK)
-        while chunk and HEAD_END not in received and len(received) < HEAD_MOST:
+        while (
+            chunk
+            and HEAD_END not in received
+            and len(received) < MAX_HEAD_BYTES
+        ):
             chunk = await self._stream.receive_some(_CHUNK)
             received += chunk
         head = read_head(received)
-        if head is None or request.method in _NO_PLAIN_ANSWER:
+        if head is None or request.method in _METHODS_WITHOUT_PLAIN_ANSWER:
             return await self._read_any_reply(request, headers, received)
         return await self._read_body(head, received)
 
     async def _read_body(self, head: PlainHead, received: bytes) -> HttpReply:
-        if head.length > const.ANSWER_MOST:
+        if head.body_length > const.MAX_ANSWER_BYTES:
             raise TargetConnectionError("the answer is too long")
-        chunks = [received[head.start :]]
+        chunks = [received[head.body_start :]]
         size = len(chunks[0])
-        while size < head.length:
+        while size < head.body_length:
             chunk = await self._stream.receive_some(_CHUNK)
             if not chunk:
                 raise TargetConnectionError("closed within the answer")
             chunks.append(chunk)
             size += len(chunk)
-        # What follows an answer unasked is no answer to the next request.
-        self._open = size == head.length
-        body = b"".join(chunks)[: head.length]
+        # Surplus bytes must not be taken for the answer to the next request.
+        self._open = size == head.body_length
+        body = b"".join(chunks)[: head.body_length]
         return HttpReply(head.status, head.headers, body)
 
     async def _read_any_reply(
         self, request: HttpRequest, headers: Headers, received: bytes
     ) -> HttpReply:
-        """Reads an answer of any form, of which something has come."""
-        state = self._sent_state(request, headers)
+        """Reads an answer of any form with `h11`.
+
+        Args:
+            request: The request that was sent.
+            headers: Headers that were sent with it.
+            received: Bytes of the answer that have been read already.
+        """
+        state = self._state_after_request(request, headers)
         state.receive_data(received)
         status = 0
-        answered: Headers = []
+        answer_headers: Headers = []
         chunks: list[bytes] = []
         size = 0
         while True:
@@ -147,7 +159,7 @@
                 state.receive_data(await self._stream.receive_some(_CHUNK))
             elif isinstance(event, h11.Response):
                 status = event.status_code
-                answered = [
+                answer_headers = [
                     (name, value)
                     for name, value in event.headers
                     if name not in HOP_HEADERS
@@ -155,19 +167,19 @@
             elif isinstance(event, h11.Data):
                 chunks.append(bytes(event.data))
                 size += len(event.data)
-                if size > const.ANSWER_MOST:
+                if size > const.MAX_ANSWER_BYTES:
                     raise TargetConnectionError("the answer is too long")
             elif isinstance(event, h11.EndOfMessage):
                 done = state.our_state is state.their_state is h11.DONE
                 self._open = done and state.trailing_data == (b"", False)
-                return HttpReply(status, answered, b"".join(chunks))
+                return HttpReply(status, answer_headers, b"".join(chunks))
             elif isinstance(event, h11.ConnectionClosed):
                 raise TargetConnectionError("closed before the answer")
 
-    def _sent_state(
+    def _state_after_request(
         self, request: HttpRequest, headers: Headers
     ) -> h11.Connection:
-        """Returns the state of a connection that has sent a request."""
+        """Returns the `h11` state of a connection that has sent `request`."""
         state = h11.Connection(h11.CLIENT)
         state.send(
             h11.Request(
@@ -192,8 +204,8 @@
     """Connects to a target at host:port.
 
     Raises:
-        OSError: It refused.
-        trio.TooSlowError: It did not answer in time.
+        OSError: The connection failed.
+        trio.TooSlowError: There was no connection in time.
     """
     host, _, port = address.rpartition(":")
     connect = _connect_numeric if _is_numeric(host) else trio.open_tcp_stream
@@ -211,10 +223,10 @@
 
 
 async def _connect_numeric(host: str, port: int) -> trio.SocketStream:
-    """Connects to the one address that a numeric host has.
+    """Connects to a numeric IPv4 address.
 
-    `open_tcp_stream` races the addresses of a name, in a nursery of its own: it
-    takes 1.6 times the processor time.
+    `open_tcp_stream` resolves a name and tries its addresses concurrently in a
+    nursery, which takes 1.6 times the CPU time.
     """
     connecting = trio.socket.socket()
     try:
--- a/pimentocross/standins/log.py
+++ b/pimentocross/standins/log.py
@@ -136,7 +136,7 @@
 
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         request = await read_request(
-            scope, receive, body_most=_BODY_MOST, timeout=30.0
+            scope, receive, max_body_bytes=_BODY_MOST, timeout=30.0
         )
         try:
             reply = await answer(request)
--- a/pimentocross/standins/service.py
+++ b/pimentocross/standins/service.py
@@ -64,7 +64,7 @@
         """Answers one request: the ASGI entry point."""
         try:
             request = await read_request(
-                scope, receive, body_most=_BODY_MOST, timeout=30.0
+                scope, receive, max_body_bytes=_BODY_MOST, timeout=30.0
             )
         except CallerGoneError:
             return
@@ -122,7 +122,7 @@
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         if scope["path"] == "/-/faults":
             request = await read_request(
-                scope, receive, body_most=_BODY_MOST, timeout=10.0
+                scope, receive, max_body_bytes=_BODY_MOST, timeout=10.0
             )
             plan = msgspec.json.decode(request.body)
             service.faults.plan = service.faults.plan._replace(**plan)
--- a/pimentocross/standins/vms.py
+++ b/pimentocross/standins/vms.py
@@ -78,7 +78,7 @@
 
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         request = await read_request(
-            scope, receive, body_most=_BODY_MOST, timeout=10.0
+            scope, receive, max_body_bytes=_BODY_MOST, timeout=10.0
         )
         name = request.path.removeprefix("/vms").strip("/")
         try:
--- a/pimentocross/standins/worker.py
+++ b/pimentocross/standins/worker.py
@@ -355,7 +355,7 @@
 
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         request = await read_request(
-            scope, receive, body_most=_BODY_MOST, timeout=10.0
+            scope, receive, max_body_bytes=_BODY_MOST, timeout=10.0
         )
         given = request.header(b"authorization").encode()
         if not hmac.compare_digest(given, expected):
--- a/pimentocross/startup.py
+++ b/pimentocross/startup.py
@@ -1,8 +1,8 @@
-"""Imports trio without starting other programs.
+"""Imports trio without starting subprocesses.
 
-Trio names its threads, and looks for the C library's threads as it is imported.
-Python searches for a library by running the programs that link and list them;
-a process of ours starts no other.
+On import trio looks for the C library's pthread functions, with which it names
+its threads. `ctypes.util.find_library` runs compiler and linker tools to find a
+library, but pimentocross processes start no subprocesses.
 """
 
 from collections.abc import Iterator
@@ -10,22 +10,22 @@
 import ctypes.util
 from typing import Final
 
-# Both on Linux; where there is neither, threads go without names.
+# Names on Linux; on systems without this library threads have no names.
 _LIBRARIES: Final = {"pthread": "libc.so.6", "c": "libc.so.6"}
 
 
 @contextmanager
 def _libraries_by_name() -> Iterator[None]:
-    """Has a library's name answered from a table, without a search."""
-    search = ctypes.util.find_library
+    """Makes `find_library` look up names in a table instead of searching."""
+    original = ctypes.util.find_library
     ctypes.util.find_library = _LIBRARIES.get  # type: ignore[assignment]
     try:
         yield
     finally:
-        ctypes.util.find_library = search
+        ctypes.util.find_library = original
 
 
 def import_trio() -> None:
-    """Imports trio; has to come before any other import of it."""
+    """Imports trio; must be called before any other import of trio."""
     with _libraries_by_name():
         import trio  # noqa: F401
--- a/tests/gates.py
+++ b/tests/gates.py
@@ -1,4 +1,4 @@
-"""What stands between two VMs in the tests: gates that can be shut."""
+"""Network fault injection for tests: pauses or cuts off a process."""
 
 from collections.abc import Sequence
 
@@ -16,36 +16,36 @@
 
 
 class Gate:
-    """Lets one process's messages pass, or holds them while it is paused.
+    """Controls the messages of one process: pauses all or cuts off some peers.
 
     Attributes:
-        cut: Addresses, and "log", that it can't reach.
+        cut: Addresses that the process can't reach; "log" is the log service.
     """
 
     def __init__(self) -> None:
-        """Starts open."""
+        """Initializes an open gate without cut addresses."""
         self.cut: set[str] = set()
         self._open = trio.Event()
         self._open.set()
 
     def pause(self) -> None:
-        """Holds every message from and to the process."""
+        """Holds back all messages from and to the process."""
         self._open = trio.Event()
 
     def resume(self) -> None:
-        """Lets all of them pass."""
+        """Lets messages pass again, also those held back."""
         self._open.set()
 
     async def wait(self) -> None:
-        """Waits until messages pass."""
+        """Waits while the process is paused."""
         await self._open.wait()
 
 
 class GatedLog:
-    """The log service as one process reaches it."""
+    """The log service, reached by one process through its gate."""
 
     def __init__(self, log: LogStandin, gate: Gate) -> None:
-        """Puts a gate before the log."""
+        """Wraps the log service for the process with this gate."""
         self._log = log
         self._gate = gate
 
@@ -70,15 +70,15 @@
 
 
 class GatedDialer:
-    """Workers as one process reaches them."""
+    """Workers, reached by one process through its gate."""
 
     def __init__(self, dialer: DirectDialer, gate: Gate) -> None:
-        """Puts a gate before the workers."""
+        """Wraps the workers' dialer for the process with this gate."""
         self._dialer = dialer
         self._gate = gate
 
     def link(self, address: str) -> WorkerLink:
-        """Returns a gated link."""
+        """Returns a link to a worker that passes the gate."""
         return _GatedLink(self._dialer.link(address), address, self._gate)
 
 
@@ -89,7 +89,7 @@
         self._gate = gate
 
     async def exchange(self, request: Exchange) -> ExchangeReply:
-        """Exchanges through the gate, in a little time."""
+        """Exchanges through the gate, with a delay of 1 ms each way."""
         await self._pass()
         reply = await self._link.exchange(request)
         await self._pass()
@@ -103,10 +103,10 @@
 
 
 class GatedStream(trio.abc.Stream):
-    """A stream between two entry VMs; while cut it is silent, not closed."""
+    """A stream between entry VMs; while cut, data is lost but it stays open."""
 
     def __init__(self, stream: trio.abc.Stream, gate: Gate, other: str) -> None:
-        """Puts this side's gate before a stream to another entry VM."""
+        """Wraps a stream to the entry VM at `other` for this side's gate."""
         self._stream = stream
         self._gate = gate
         self._other = other
@@ -119,16 +119,16 @@
             await self._stream.send_all(data)
 
     async def wait_send_all_might_not_block(self) -> None:
-        """Returns at once: the memory has room."""
+        """Returns at once: memory streams never block on sending."""
         await trio.lowlevel.checkpoint()
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Receives what the other side sent."""
+        """Receives data, and holds it back while the process is paused."""
         data = await self._stream.receive_some(max_bytes)
         await self._gate.wait()
         return bytes(data)
 
     async def aclose(self) -> None:
-        """Closes, unseen by the other side while cut."""
+        """Closes the stream; while cut, the other side doesn't notice."""
         if self._other not in self._gate.cut:
             await self._stream.aclose()
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -312,7 +312,7 @@
         # A request that may have arrived is never reported as not run.
         assert states <= {200, 504}
         links = cluster.entries[0].target_registry.links.values()
-        assert sum(link.silences for link in links) > 0
+        assert sum(link.timeout_count for link in links) > 0
 
 
 @real_time
--- a/tests/test_peer_link.py
+++ b/tests/test_peer_link.py
@@ -1,4 +1,4 @@
-"""Peer links: framing, greeting, silence, and what strangers send."""
+"""Tests peer links: framing, greeting, timeouts and invalid input."""
 
 import itertools
 import random
@@ -58,9 +58,9 @@
 
 
 async def _greet_with(
-    cluster: str, keys: list[bytes], theirs: list[bytes]
+    cluster: str, keys: list[bytes], peer_keys: list[bytes]
 ) -> PeerIdentity:
-    listener, _ = _listener(*theirs)
+    listener, _ = _listener(*peer_keys)
     near, far = memory_stream_pair()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(listener.serve_connection, far)
@@ -72,8 +72,12 @@
 async def test_a_key_is_replaced_in_steps_without_a_break() -> None:
     steps = [[_OLD], [_OLD, _NEW], [_NEW, _OLD], [_NEW]]
     for before, after in itertools.pairwise(steps):
-        for mine, theirs in ((before, after), (after, before), (after, after)):
-            assert await _greet_with("test", mine, theirs) == _B
+        for keys, peer_keys in (
+            (before, after),
+            (after, before),
+            (after, after),
+        ):
+            assert await _greet_with("test", keys, peer_keys) == _B
 
 
 async def test_wrong_key_and_other_cluster_are_refused() -> None:
@@ -86,20 +90,20 @@
         assert refused, cluster
 
 
-async def _send_raw(raw: bytes) -> tuple[EntryListener, _Answerer]:
+async def _send_raw(data: bytes) -> tuple[EntryListener, _Answerer]:
     listener, answerer = _listener(_NEW)
     near, far = memory_stream_pair()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(listener.serve_connection, far)
-        await near.send_all(raw)
+        await near.send_all(data)
         await near.send_eof()
     return listener, answerer
 
 
-async def test_strangers_bytes_end_their_connection_only() -> None:
-    draw = random.Random(3)
+async def test_invalid_bytes_end_only_their_connection() -> None:
+    rng = random.Random(3)
     frame = msgpack.packb([1, "test", b"x" * 16])
-    raws = [
+    inputs = [
         b"",
         b"GET / HTTP/1.1\r\n\r\n",
         struct.pack(">I", 2**31) + b"x",
@@ -108,12 +112,12 @@
         struct.pack(">I", len(frame)) + frame + struct.pack(">I", 0),
         struct.pack(">I", 6) + msgpack.packb({"a": {"b": 1}}),
         struct.pack(">I", 9) + msgpack.packb([99, "test", b"n"]),
-        *(draw.randbytes(draw.randrange(200)) for _ in range(200)),
+        *(rng.randbytes(rng.randrange(200)) for _ in range(200)),
     ]
-    for raw in raws:
-        listener, answerer = await _send_raw(raw)
+    for data in inputs:
+        listener, answerer = await _send_raw(data)
         assert not answerer.asked
-        assert listener.refused == 1, raw
+        assert listener.refused == 1, data
 
 
 async def test_slow_greeter_is_cut_off() -> None:
@@ -142,11 +146,11 @@
         ]
         for number, array in enumerate(wrong):
             await frames.send([number, *array])
-            reply = await frames.receive(const.FRAME_MOST)
+            reply = await frames.receive(const.MAX_FRAME_BYTES)
             assert reply is not None
             assert isinstance(PEER_MESSAGES.unpack(reply[1:]), Refused)
         await frames.send([9, *PEER_MESSAGES.pack(WaitConfig(1, 1.0))])
-        reply = await frames.receive(const.FRAME_MOST)
+        reply = await frames.receive(const.MAX_FRAME_BYTES)
         assert reply is not None
         assert isinstance(PEER_MESSAGES.unpack(reply[1:]), Done)
         nursery.cancel_scope.cancel()
@@ -179,25 +183,29 @@
         await wait_for(lambda: link.connected)
         await trio.sleep(5)
         assert len(gates) == 1
-        # Something between has lost track of this connection only.
+        # The network loses the state of this connection only.
         gates[0].cut.add("b")
         lost = trio.current_time()
         await wait_for(lambda: len(gates) == 2 and link.connected)
         assert trio.current_time() - lost < 6
-        assert link.silences == 1
+        assert link.timeout_count == 1
         nursery.cancel_scope.cancel()
 
 
 async def test_every_vm_of_a_large_cluster_reaches_the_owner() -> None:
-    """Beyond 256 VMs the rest refused all callers, and held it for silent."""
+    """Guards against a too low limit of connections to an owner.
+
+    With a limit of 256 connections, the entry VMs beyond it took the owner for
+    unreachable and refused all callers.
+    """
     listener, _ = _listener(_NEW)
     async with trio.open_nursery() as nursery:
 
         async def dial(address: str) -> trio.abc.Stream:
-            ours, theirs = memory_stream_pair()
-            nursery.start_soon(listener.serve_connection, theirs)
+            near, far = memory_stream_pair()
+            nursery.start_soon(listener.serve_connection, far)
             await trio.lowlevel.checkpoint()
-            return ours
+            return near
 
         async def ask(link: EntryLink) -> None:
             assert await link.ask(WaitConfig(0, 1.0), 1.0) == Done()
@@ -206,9 +214,13 @@
 
         answered: list[EntryLink] = []
         for number in range(300):
-            mine = PeerIdentity(f"v{number}:1:x", "v", "v:1", "north")
+            local_identity = PeerIdentity(f"v{number}:1:x", "v", "v:1", "north")
             link = EntryLink(
-                "b:1", mine, Credentials("test", [_NEW]), PEER_MESSAGES, dial
+                "b:1",
+                local_identity,
+                Credentials("test", [_NEW]),
+                PEER_MESSAGES,
+                dial,
             )
             nursery.start_soon(link.run, ask)
         with trio.move_on_after(10.0):
--- a/tests/test_plain_http.py
+++ b/tests/test_plain_http.py
@@ -1,4 +1,7 @@
-"""Answers of any form are read alike, in whatever pieces they come."""
+"""Tests requests to targets and the parsing of their answers.
+
+Answers are parsed alike in every form and however they are split into reads.
+"""
 
 import time
 from typing import Final
@@ -16,29 +19,29 @@
 _PLAIN: Final = b"HTTP/1.1 200 OK\r\nA: b \r\nContent-Length: 3\r\n\r\nabc"
 
 
-class _Pieces:
-    """Gives an answer in pieces of one size, and then the end."""
+class _PiecewiseStream:
+    """A stream that returns an answer in pieces of one size, then its end."""
 
     def __init__(self, answer: bytes, size: int) -> None:
         self.sent = b""
-        self._left = [
+        self._pieces = [
             answer[start : start + size]
             for start in range(0, len(answer), size)
         ]
 
     async def send_all(self, data: bytes) -> None:
-        """Takes a request."""
+        """Records the bytes sent."""
         self.sent += data
 
     async def receive_some(self, _: int) -> bytes:
-        """Gives the next piece."""
-        return self._left.pop(0) if self._left else b""
+        """Returns the next piece of the answer."""
+        return self._pieces.pop(0) if self._pieces else b""
 
 
-async def _ask(
+async def _exchange(
     answer: bytes, size: int, request: HttpRequest = _POST
 ) -> tuple[HttpReply, bool]:
-    stream = _Pieces(answer, size)
+    stream = _PiecewiseStream(answer, size)
     connection = TargetConnection(stream, "h:1")  # type: ignore[arg-type]
     reply = await connection.exchange(request, [])
     return reply, connection.reusable
@@ -46,13 +49,13 @@
 
 async def _is_refused(answer: bytes, size: int) -> bool:
     try:
-        await _ask(answer, size)
+        await _exchange(answer, size)
     except TargetConnectionError:
         return True
     return False
 
 
-async def test_answers_are_read_whole_and_say_if_another_may_follow() -> None:
+async def test_answers_are_read_whole_and_reuse_is_detected() -> None:
     cases: list[tuple[bytes, int, Headers, bytes, bool]] = [
         (_PLAIN, 200, [(b"a", b"b"), (b"content-length", b"3")], b"abc", True),
         (
@@ -92,25 +95,25 @@
     ]
     for answer, status, headers, body, reusable in cases:
         for size in (1, 7, len(answer)):
-            reply, left_open = await _ask(answer, size)
+            reply, is_reusable = await _exchange(answer, size)
             assert reply == HttpReply(status, headers, body), answer
-            assert left_open is reusable, (answer, size)
+            assert is_reusable is reusable, (answer, size)
 
 
 async def test_an_answer_to_head_has_no_body() -> None:
     answer = b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\n"
     head = HttpRequest("HEAD", "/a", b"", [], b"")
-    reply, reusable = await _ask(answer, len(answer), head)
+    reply, reusable = await _exchange(answer, len(answer), head)
     assert reply.body == b""
     assert reusable
 
 
-async def test_what_follows_an_answer_unasked_is_no_answer() -> None:
-    _, reusable = await _ask(_PLAIN + _PLAIN, 1_000)
+async def test_surplus_bytes_after_an_answer_prevent_reuse() -> None:
+    _, reusable = await _exchange(_PLAIN + _PLAIN, 1_000)
     assert not reusable
 
 
-async def test_what_is_no_whole_answer_is_refused() -> None:
+async def test_incomplete_or_invalid_answers_are_refused() -> None:
     for answer in (
         b"",
         b"HTTP/1.1 200 OK\r\n",
@@ -127,8 +130,8 @@
             assert await _is_refused(answer, size), (answer[:90], size)
 
 
-async def test_a_request_is_sent_whole_and_without_headers_of_one_hop() -> None:
-    stream = _Pieces(_PLAIN, 1_000)
+async def test_a_request_is_sent_whole_without_hop_by_hop_headers() -> None:
+    stream = _PiecewiseStream(_PLAIN, 1_000)
     connection = TargetConnection(stream, "h:1")  # type: ignore[arg-type]
     hop = (b"connection", b"close")
     request = _POST._replace(headers=[hop, (b"host", b"else"), (b"a", b"b")])
@@ -139,7 +142,7 @@
     )
 
 
-async def test_a_request_that_would_break_its_head_is_not_sent() -> None:
+async def test_a_request_that_would_inject_headers_is_not_sent() -> None:
     for request in (
         _POST._replace(path="/a HTTP/1.1\r\nx: y"),
         _POST._replace(headers=[(b"a", b"b\r\nx: y")]),
@@ -149,7 +152,7 @@
         _POST._replace(headers=[(b"a", b"b\x00")]),
         _POST._replace(method="PO ST"),
     ):
-        stream = _Pieces(_PLAIN, 1_000)
+        stream = _PiecewiseStream(_PLAIN, 1_000)
         connection = TargetConnection(stream, "h:1")  # type: ignore[arg-type]
         try:
             await connection.exchange(request, [])
@@ -159,8 +162,8 @@
             raise AssertionError(request)
 
 
-async def test_a_connection_whose_answer_is_owed_takes_no_request() -> None:
-    class _Silent(_Pieces):
+async def test_a_connection_with_a_pending_answer_is_not_reusable() -> None:
+    class _Silent(_PiecewiseStream):
         async def receive_some(self, _: int) -> bytes:
             await trio.sleep_forever()
             raise AssertionError
