--- a/bench/large_owner.py
+++ b/bench/large_owner.py
@@ -85,7 +85,7 @@
         self.listings = 0
         self.listed_runs = 0
         self.ended = 0
-        self.parts = make_owner_context(
+        self.owner_context = make_owner_context(
             self.book, self.ledger, self._on_ending, self._on_listed
         )
 
@@ -149,9 +149,9 @@
     cell = _OwnerWithoutPlacement(StoreClient(store_at), workers_at)
     await cell.ledger.open()
     async with trio.open_nursery() as nursery:
-        orders = Orders(nursery, cell.parts, lambda *_: None)
+        orders = Orders(nursery, cell.owner_context, lambda *_: None)
         cell.roster.open(
-            RosterParts(nursery, cell.parts, orders, lambda _: None)
+            RosterParts(nursery, cell.owner_context, orders, lambda _: None)
         )
         await cell.roster.poll()
         nursery.start_soon(cell.ledger.run)
--- a/bench/policy_report.py
+++ b/bench/policy_report.py
@@ -86,13 +86,13 @@
                     ]
             found += [
                 Bound(
-                    f"{label}: p99 relative to told the matrix",
+                    f'{label}: p99 relative to "told the matrix"',
                     ours.p99 / oracle.p99,
                     1.1,
                     True,
                 ),
                 Bound(
-                    f"{label}: throughput relative to told the matrix",
+                    f'{label}: throughput relative to "told the matrix"',
                     ours.finished / oracle.finished,
                     0.9,
                     False,
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -271,7 +271,7 @@
     for url in urls:
         while request_json("GET", url)[0] == 0:
             if time.monotonic() > deadline:
-                raise TimeoutError(f"no reply from {url}")
+                raise TimeoutError(url)
             time.sleep(0.1)
 
 
--- a/bench/rehearsal.py
+++ b/bench/rehearsal.py
@@ -256,8 +256,8 @@
     unfinished: dict[str, str],
 ) -> list[str]:
     journal = cluster.journal()
-    died = _processes_of(journal, killed)
-    runs = read_runs(journal, died)
+    process_ends = _processes_of(journal, killed)
+    runs = read_runs(journal, process_ends)
     violations = find_two_places(runs)
     violations += find_over_commit(journal, cluster.config.workers.resources)
     violations += find_served_twice(journal)
@@ -267,14 +267,14 @@
     ]
     if traffic.caller.outcomes[(CallKind.MIXED_UP.value, "")]:
         violations.append("a reply was sent to another caller")
-    finished = finished_tasks(r for r in runs if r.process not in died)
+    finished = finished_tasks(r for r in runs if r.process not in process_ends)
     violations += [
         f"{t} finished {n} times" for t, n in finished.items() if n > 1
     ]
     finished_anywhere = finished_tasks(runs)
     for job in traffic.jobs:
         if not finished_anywhere[f"{job}/0"]:
-            violations.append(f"{job} is reported as finished but was not run")
+            violations.append(f"{job} is reported as finished but never did")
     return violations
 
 
@@ -322,8 +322,8 @@
         at = latencies[min(int(share * len(latencies)), len(latencies) - 1)]
         print(f"  p{share * 100:g} of answered calls: {at * 1000:.1f} ms")
     journal = cluster.journal()
-    died = _processes_of(journal, fault_injector.killed_workers)
-    runs = [r for r in read_runs(journal, died) if r.kind == "batch"]
+    process_ends = _processes_of(journal, fault_injector.killed_workers)
+    runs = [r for r in read_runs(journal, process_ends) if r.kind == "batch"]
     print(f"jobs accepted {len(traffic.jobs)}, task attempts {len(runs)}")
     states = Counter(run.state for run in runs)
     print(f"task attempts by how they ended: {dict(states)}")
--- a/bench/request.py
+++ b/bench/request.py
@@ -97,14 +97,14 @@
 def _cost(cluster: Cluster, pool: httpcore.ConnectionPool, url: str) -> float:
     """Returns the processor seconds of a round of requests."""
     headers = [(SERVICE, b"echo")]
-    before = _used(cluster)
+    before = _cpu_seconds(cluster)
     for _ in range(_REQUESTS):
         reply = pool.request("GET", url, headers=headers)
         assert reply.status == 200
-    return _used(cluster) - before
+    return _cpu_seconds(cluster) - before
 
 
-def _used(cluster: Cluster) -> float:
+def _cpu_seconds(cluster: Cluster) -> float:
     others = sum(
         cluster.processes.used(name).cpu_seconds
         for name in ("entry-0", cluster.workers[0])
--- a/bench/rounds/causes.py
+++ b/bench/rounds/causes.py
@@ -59,7 +59,7 @@
     found: dict[tuple[str, str], list[_Job]] = defaultdict(list)
     for job in _jobs(lines):
         diagnosis = diagnose(lines, job.name)
-        if _is_late(diagnosis):
+        if _is_late_or_failed(diagnosis):
             found[(job.kind, _normalized_cause(diagnosis))].append(job)
     rows = [
         Row(kind, cause, len(jobs), sum(job.work for job in jobs))
@@ -91,7 +91,7 @@
     return list(found.values())
 
 
-def _is_late(diagnosis: Diagnosis) -> bool:
+def _is_late_or_failed(diagnosis: Diagnosis) -> bool:
     if diagnosis.outcome == "cancelled":
         return False
     if diagnosis.outcome != "completed":
--- a/bench/wire_parts.py
+++ b/bench/wire_parts.py
@@ -187,12 +187,14 @@
     for task, run in tasks:
         worker.add(task, run)
     learned = LearnedEstimates()
-    parts = make_owner_context(
+    owner_context = make_owner_context(
         book, ledger, learned.on_ending, learned.on_listed
     )
     began = time.thread_time()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(LeaseKeeper(worker, parts, _NoRunStopper()).run)
+        nursery.start_soon(
+            LeaseKeeper(worker, owner_context, _NoRunStopper()).run
+        )
         await link.done.wait()
         nursery.cancel_scope.cancel()
     return decoding, (time.thread_time() - began) / _CALLS * _MS_PER_SECOND
--- a/bench/without.py
+++ b/bench/without.py
@@ -46,8 +46,10 @@
     return Estimate(0.0, 0.0, 0.0)
 
 
-def _full_paces(_: object, fillers: Sequence[Any], __: object) -> list[int]:
-    return [FULL_PACE for _ in fillers]
+def _full_paces(
+    _: object, best_effort_runs: Sequence[Any], __: object
+) -> list[int]:
+    return [FULL_PACE for _ in best_effort_runs]
 
 
 def _replace_attribute(
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -43,23 +43,23 @@
     steady = difference(before, [x + 0.03 + 0.001 * x for x in before])
     assert steady.is_significant and 0.029 < steady.low <= steady.high < 0.032
     signs = (1, -1, 1, -1, 1, -1, 1, -1)
-    luck = difference(
+    alternating = difference(
         before, [x + 0.05 * s for x, s in zip(before, signs, strict=True)]
     )
-    assert not luck.is_significant and luck.pairs == 8
+    assert not alternating.is_significant and alternating.pairs == 8
 
 
 def test_a_day_with_a_report_is_not_run_again() -> None:
-    play = DayRun("c" * 40, "", Path("site.toml"), "mix", 3)
+    day_run = DayRun("c" * 40, "", Path("site.toml"), "mix", 3)
     with (
         mock.patch("bench.rounds.day_runs._run") as run,
         mock.patch.object(Path, "exists", return_value=True),
         mock.patch.object(Path, "read_text", return_value=json.dumps(_REPORT)),
     ):
-        found = run_day(Path("b"), Path("t"), play, Path("r"))
+        found = run_day(Path("b"), Path("t"), day_run, Path("r"))
     assert found.worth == 0.71
     run.assert_not_called()
-    assert play.file_name == "cccccccccccc-whole-site-mix-3.json"
+    assert day_run.file_name == "cccccccccccc-whole-site-mix-3.json"
 
 
 _LOG = """
