--- a/pimentocross/placement/layout.py
+++ b/pimentocross/placement/layout.py
@@ -178,7 +178,7 @@
         self._images = tuple(scarcity)
         self._compatibility = compatibility
         self._blocked_indexes: dict[str, tuple[int, ...]] = {}
-        # Cached results of `wanted_by_others`, by serving images and image.
+        # Cached results of `scarcity_for_others`, by serving images and image.
         self._others_scarcity: dict[tuple[tuple[str, ...], str], float] = {}
 
     @property
@@ -260,7 +260,7 @@
             room - cpu * SERVING_USE_SHARE, blocking_cpu, capacity
         )
 
-    def wanted_by_others(self, host: Host, image: str) -> float:
+    def scarcity_for_others(self, host: Host, image: str) -> float:
         """Returns the highest scarcity of other images that a worker admits."""
         if self.is_unconstrained:
             return 0.0
