--- a/bench/without.py
+++ b/bench/without.py
@@ -69,7 +69,7 @@
     "probes": _put(Probes, "allows", _true),
     "quarantine": _put(Quarantine, "admits", _true),
     "reclaim": _put(Reclaimer, "pass_over", _nothing),
-    "retries": _put(Probes, "may_retry", _false),
+    "retries": _put(Probes, "may_remeasure", _false),
     "same-image": _put(hosts, "_strangeness", _zero),
     "sickness": _put(learned, "is_sick", _false),
     "slowness": _put(soundness.Speeds, "is_slow", _false),
--- a/pimentocross/config/schema.py
+++ b/pimentocross/config/schema.py
@@ -78,7 +78,7 @@
     """A class of batch jobs.
 
     Attributes:
-        tenant: Tenant that the service belongs to.
+        tenant: Tenant that the jobs belong to.
         size: Resources that one task may use.
         run_time: How long one task is expected to take.
         tries: Failed attempts after which the job has failed.
--- a/pimentocross/contracts/authority.py
+++ b/pimentocross/contracts/authority.py
@@ -136,7 +136,7 @@
         return self._process in self._fold.state.members
 
     def statement(self) -> Statement:
-        """Returns this member's statement as of now."""
+        """Returns how far this member has read the stream, as of now."""
         read_at = self._fold.read_to_end_at
         age = None if read_at == NEVER else trio.current_time() - read_at
         return Statement(
@@ -148,7 +148,10 @@
         )
 
     def acknowledge(self, newcomer: str) -> bool:
-        """Includes a newcomer in the members that are asked under rule 1.
+        """Counts a newcomer among the members whose statements are needed.
+
+        Without a statement of each member, this process is confirmed as owner
+        only by a read to the end of the ownership stream.
 
         Returns:
             False if the newcomer was removed and is therefore not included.
@@ -163,7 +166,7 @@
         self._acknowledged_by.add(member)
 
     def note_statement(self, statement: Statement, asked_at: float) -> bool:
-        """Records a member's statement.
+        """Records a member's statement on how far it has read the stream.
 
         Returns:
             False if the statement doesn't count as a confirmation, because the
@@ -186,7 +189,11 @@
         return self.owns(resource) and trio.current_time() < self.may_act_until
 
     def owns(self, resource: str) -> bool:
-        """True if the newest folded claim is this process's own."""
+        """True if this process owns a resource by its fold of the stream.
+
+        The newest folded claim must be its own and not released, and this
+        process must still be a member.
+        """
         ownership = self._fold.state.ownership(resource)
         is_own = ownership.process == self._process
         return is_own and not ownership.released and self.is_member
--- a/pimentocross/contracts/fold.py
+++ b/pimentocross/contracts/fold.py
@@ -371,8 +371,8 @@
         self._ids = OrderedDict((i.record_id, i) for i in ids)
         to_apply = [r for r in self._gap if r.offset >= position]
         self._gap = None
-        for kept in to_apply:
-            self._apply(kept)
+        for later_record in to_apply:
+            self._apply(later_record)
 
     def _notify_changed(self) -> None:
         self._changed.set()
--- a/pimentocross/contracts/poll_pace.py
+++ b/pimentocross/contracts/poll_pace.py
@@ -30,9 +30,9 @@
         """Seconds for which the next read may wait."""
         return self._wait
 
-    def note_answer(self, *, news: bool) -> None:
-        """Adjusts the wait after an answer, with or without new records."""
-        if news:
+    def note_answer(self, *, has_changes: bool) -> None:
+        """Adjusts the wait after an answer with or without changes."""
+        if has_changes:
             self.restart()
         else:
             self._wait = min(self._wait * _GROWTH, self._longest)
--- a/pimentocross/entry/idempotency.py
+++ b/pimentocross/entry/idempotency.py
@@ -21,7 +21,12 @@
 from pimentocross.links.asgi import HttpReply
 from pimentocross.links.messages import AskKey, KeyAnswer
 from pimentocross.links.peer import PeerUnreachableError
-from pimentocross.observe.problems import Problem, RunState, not_run, unknown
+from pimentocross.observe.problems import (
+    Problem,
+    RequestRunState,
+    not_run,
+    unknown,
+)
 
 
 class Claim(NamedTuple):
@@ -217,6 +222,6 @@
         return KeyAnswer(
             "done", reply.status, content_type.decode("latin-1"), reply.body
         )
-    if result.error.state is RunState.NOT_RUN:
+    if result.error.state is RequestRunState.NOT_RUN:
         return KeyAnswer("released")
     return KeyAnswer("unknown")
--- a/pimentocross/entry/node.py
+++ b/pimentocross/entry/node.py
@@ -192,7 +192,7 @@
 
     @property
     def authority(self) -> Authority:
-        """Its membership and ownerships in the ownership stream."""
+        """This process's membership and ownerships in the ownership stream."""
         return self._authority
 
     @property
--- a/pimentocross/entry/reports.py
+++ b/pimentocross/entry/reports.py
@@ -84,7 +84,10 @@
         ]
 
     def jobs(self, limit: int) -> list[JobStatus]:
-        """Returns the newest jobs of the cells owned here, at most `limit`."""
+        """Returns the last `limit` jobs of the cells owned here.
+
+        Jobs are listed cell by cell, so these are not the newest of all cells.
+        """
         found = [
             JobStatus(
                 name,
--- a/pimentocross/gateway/caller_requests.py
+++ b/pimentocross/gateway/caller_requests.py
@@ -84,7 +84,7 @@
         """The configuration in force, or None before the first."""
         ...
 
-    async def ensure_current(self) -> bool:
+    async def check_current(self) -> bool:
         """Returns whether the copy has every change that must be in force."""
         ...
 
@@ -146,7 +146,7 @@
         if queue_path is not None:
             return queue_path
         # A copy that is not fresh may lack a route confirmed a moment ago.
-        current = await self._configs.ensure_current()
+        current = await self._configs.check_current()
         queue_path = self._find_path(host, path)
         if queue_path is not None:
             return queue_path
--- a/pimentocross/gateway/cluster.py
+++ b/pimentocross/gateway/cluster.py
@@ -154,7 +154,9 @@
             # A long poll makes no sense while the store can't be reached.
             wait = self._poll_pace.wait if self.reachable else 0.0
             try:
-                self._poll_pace.note_answer(news=await self.refresh(wait))
+                self._poll_pace.note_answer(
+                    has_changes=await self.refresh(wait)
+                )
             except StoreUnavailableError:
                 self._poll_pace.restart()
                 await trio.sleep(jittered(const.FOLLOW_RETRY))
@@ -180,16 +182,16 @@
             raise
 
     async def _read(self, wait: float) -> bool:
-        news = await self._reader.read(wait, const.FOLLOW_TIMEOUT)
+        update = await self._reader.read(wait, const.FOLLOW_TIMEOUT)
         if not self.reachable:
             note("store_reached")
         self.reachable = True
-        for record in news.records:
+        for record in update.records:
             self._apply_record(record)
-        if news.records or news.is_snapshot:
+        if update.records or update.is_snapshot:
             self.changed.set()
             self.changed = trio.Event()
-        return bool(news.records)
+        return bool(update.records)
 
     async def register(self, member: Member) -> None:
         """Stores a process as a member; retries until the store accepts it."""
--- a/pimentocross/gateway/config_follower.py
+++ b/pimentocross/gateway/config_follower.py
@@ -17,7 +17,7 @@
 _DEFAULT_APPLY_WITHIN: Final = 2.0
 
 
-class ConfigNews(NamedTuple):
+class ConfigReply(NamedTuple):
     """A source's reply to a request for the configuration.
 
     Attributes:
@@ -43,7 +43,7 @@
         timeout: float,
         again_after: float,
         urgent: trio.Event | None,
-    ) -> ConfigNews:
+    ) -> ConfigReply:
         """Returns the newest configuration if it changes within `wait`.
 
         Args:
@@ -106,23 +106,24 @@
         """Returns the seconds since this copy surely was the newest, or inf."""
         return trio.current_time() - self._known_at
 
-    async def ensure_current(self) -> bool:
+    async def check_current(self) -> bool:
         """Returns whether the copy has every change that must be in force.
 
         A copy that isn't fresh may lack a change that was confirmed a moment
-        ago, so it is read again first, see `ensure_newest_since`. If the source
+        ago, so it is read again first, see `check_newest_since`. If the source
         is too slow for that, the copy stays valid for most of the time within
         which a change must be in force.
         """
         now = trio.current_time()
-        await self.ensure_newest_since(now - self._fresh_within)
+        await self.check_newest_since(now - self._fresh_within)
         return self._known_at >= now - self._current_within
 
-    async def ensure_newest_since(self, moment: float) -> bool:
+    async def check_newest_since(self, moment: float) -> bool:
         """Returns whether the copy surely was the newest at a given time.
 
         If that isn't known, the copy is read again; concurrent calls share one
-        request. If the source is known not to answer, the call returns at once.
+        request. Returns False if that read times out, and at once if the source
+        is known not to answer.
 
         Args:
             moment: Monotonic time, not in the future.
@@ -146,7 +147,7 @@
         asked_at = trio.current_time()
         newest = self._find_queue(queue.name)
         if newest is None:
-            dropped = await self.ensure_newest_since(asked_at)
+            dropped = await self.check_newest_since(asked_at)
             newest = self._find_queue(queue.name) or (
                 None if dropped else queue
             )
@@ -169,7 +170,7 @@
     async def _ask(self) -> None:
         asked_at = trio.current_time()
         try:
-            news = await self._source.next_config(
+            reply = await self._source.next_config(
                 # Without a wait, so that a returning source answers at once.
                 0.0 if self.away else self._pace.wait,
                 const.FOLLOW_TIMEOUT,
@@ -187,11 +188,11 @@
             )
             return
         self.away = False
-        self._pace.note_answer(news=news.config is not None)
-        if news.config is not None:
-            self._apply(news.config, news.asked_at)
-        self.evacuations.update(news.evacuated, news.known_at)
-        self._known_at = max(self._known_at, news.known_at)
+        self._pace.note_answer(has_changes=reply.config is not None)
+        if reply.config is not None:
+            self._apply(reply.config, reply.asked_at)
+        self.evacuations.update(reply.evacuated, reply.known_at)
+        self._known_at = max(self._known_at, reply.known_at)
 
     def _apply(self, config: WorkConfig, asked_at: float) -> None:
         known = self._config
--- a/pimentocross/gateway/const.py
+++ b/pimentocross/gateway/const.py
@@ -28,9 +28,9 @@
 CONFIG_OVERDUE_SHARE: Final = 0.2
 CONFIG_CURRENT_SHARE: Final = 0.75
 CONFIG_FRESH_SHARE: Final = 0.05
-# Share of the time within which an evacuation has to be in force: how old a
-# copy may be for a start to rely on it. The rest is left for the start to
-# arrive.
+# Share of the time limit for evacuations to be in force within which this VM's
+# copy counts as current, so that a start may rely on it. The rest is left for
+# the start to arrive.
 EVACUATION_CURRENT_SHARE: Final = 0.6
 # How long a caller waits for a refresh from the store before it is told to come
 # back. A slow store answers within this time.
--- a/pimentocross/gateway/intake.py
+++ b/pimentocross/gateway/intake.py
@@ -48,7 +48,7 @@
 class CurrentConfig(Protocol):
     """Access to the configuration on this VM; see `ConfigFollower`."""
 
-    async def ensure_current(self) -> bool:
+    async def check_current(self) -> bool:
         """Returns whether the copy has every change that must be in force."""
         ...
 
@@ -269,7 +269,7 @@
         return reply
 
     async def _may_store(self, message: _StorableRequest) -> bool:
-        if not await self._configs.ensure_current():
+        if not await self._configs.check_current():
             return False
         if isinstance(message, CancelJob):
             return True
--- a/pimentocross/gateway/node.py
+++ b/pimentocross/gateway/node.py
@@ -122,10 +122,10 @@
         """Returns the seconds for which no owner has been reachable, or 0."""
         return self._election.owner_absent()
 
-    async def run(self, surfaces: HttpHandlers) -> None:
+    async def run(self, handlers: HttpHandlers) -> None:
         """Runs until a stop is requested and the drain has finished."""
-        callers = HttpListener(surfaces.callers, self._limits)
-        ready = HttpListener(surfaces.ready, ListenerLimits)
+        callers = HttpListener(handlers.callers, self._limits)
+        ready = HttpListener(handlers.ready, ListenerLimits)
         settings = self._settings
         peers = PeerListener(
             self._own_identity,
@@ -139,7 +139,7 @@
             nursery.start_soon(write_lines, self._late_log.record)
             await nursery.start(ready.serve, settings.ready_address)
             await nursery.start(callers.serve, settings.caller_address)
-            nursery.start_soon(self._serve_metrics, surfaces.metrics)
+            nursery.start_soon(self._serve_metrics, handlers.metrics)
             nursery.start_soon(self._serve_peers, peers)
             nursery.start_soon(self._configs.run)
             nursery.start_soon(self._cluster.follow)
--- a/pimentocross/observe/metrics.py
+++ b/pimentocross/observe/metrics.py
@@ -42,7 +42,7 @@
 
 
 def _render_values(
-    values: Mapping[str, float], kind: str, form: str
+    values: Mapping[str, float], kind: str, number_format: str
 ) -> Iterator[str]:
     """Yields the lines of values by name; a name includes its labels."""
     typed_family = ""
@@ -51,4 +51,4 @@
         if family != typed_family:
             yield f"# TYPE pimentocross_{family} {kind}"
             typed_family = family
-        yield f"pimentocross_{name} {value:{form}}"
+        yield f"pimentocross_{name} {value:{number_format}}"
--- a/pimentocross/observe/problems.py
+++ b/pimentocross/observe/problems.py
@@ -7,8 +7,8 @@
 from pimentocross.links.asgi import PROBLEM_JSON, HttpReply, json_reply
 
 
-class RunState(StrEnum):
-    """Whether the work of a request that got no answer may have run."""
+class RequestRunState(StrEnum):
+    """Whether the work of a failed request may have run."""
 
     NOT_RUN = "not run"
     UNKNOWN = "unknown"
@@ -26,7 +26,7 @@
     """
 
     status: int
-    state: RunState
+    state: RequestRunState
     reason: str
     detail: str
     retry_after: float | None = None
@@ -51,9 +51,9 @@
     status: int, reason: str, detail: str, retry_after: float | None = None
 ) -> Problem:
     """Returns the problem of a request whose work did not run."""
-    return Problem(status, RunState.NOT_RUN, reason, detail, retry_after)
+    return Problem(status, RequestRunState.NOT_RUN, reason, detail, retry_after)
 
 
 def unknown(status: int, reason: str, detail: str) -> Problem:
     """Returns the problem of a request whose work may have run."""
-    return Problem(status, RunState.UNKNOWN, reason, detail)
+    return Problem(status, RequestRunState.UNKNOWN, reason, detail)
--- a/pimentocross/owner/call_timeouts.py
+++ b/pimentocross/owner/call_timeouts.py
@@ -23,7 +23,7 @@
 _LATENESS_WINDOW: Final = 5.0
 # Seconds of lateness beyond the expected lateness that may make a call fail: a
 # quarter of the time that it may take.
-_SPOILING_LATENESS: Final = const.HOLD_SLACK / 4
+_SPOILING_LATENESS: Final = const.LISTING_SLACK / 4
 # Least seconds left of a lease when the call that requests it times out.
 _LEASE_LEFT: Final = 1.0
 # Most seconds since the last reply of a worker after which a failed call is
@@ -58,7 +58,7 @@
             wait: How long the worker may wait for changes before it answers.
             now: Present time.
         """
-        base = wait + const.HOLD_SLACK
+        base = wait + const.LISTING_SLACK
         most = max(self._lease - _LEASE_LEFT - base, 0.0)
         return base + min(self._extra_time(now), most)
 
@@ -79,7 +79,7 @@
             return False
         if now - last_reply_at > _REPLY_AGE_MOST:
             return False
-        expected = (timeout - wait - const.HOLD_SLACK) / _WAITS_PER_CALL
+        expected = (timeout - wait - const.LISTING_SLACK) / _WAITS_PER_CALL
         return self._lateness.since(sent_at) >= expected + _SPOILING_LATENESS
 
     def _extra_time(self, now: float) -> float:
--- a/pimentocross/owner/const.py
+++ b/pimentocross/owner/const.py
@@ -40,22 +40,22 @@
 
 # Usual time that a worker may hold a listing call open. Each such call also
 # renews the worker's leases.
-HOLD_WAIT: Final = 1.0
-# Usual time for workers on which serving tasks run beside fillers: their
-# readings are needed more often.
-HOLD_WAIT_SERVING: Final = 0.5
+LISTING_WAIT: Final = 1.0
+# Usual time for workers on which serving tasks run beside best-effort tasks:
+# their readings are needed more often.
+LISTING_WAIT_SERVING: Final = 0.5
 # Upper bound of that time when listings take much of the owner's thread: two
 # readings still arrive within the time that a task may be over its target.
-MAX_HOLD_WAIT_SERVING: Final = 0.75
-HOLD_SLACK: Final = 0.8
-HOLD_RETRY_PAUSE: Final = 0.2
+MAX_LISTING_WAIT_SERVING: Final = 0.75
+LISTING_SLACK: Final = 0.8
+LISTING_RETRY_PAUSE: Final = 0.2
 # An unanswered start may still be carried out within this time.
 LATE_START_WINDOW: Final = 12.0
 # The next life of the worker's id may carry it out as well: that life refuses
 # late starts only after an order with a token of its own. A silent worker is
 # therefore called at a short interval, up to this long after it fell silent.
-HOLD_RETRY_QUICK: Final = 0.05
-HOLD_RETRY_QUICK_FOR: Final = 2.0
+LISTING_QUICK_RETRY_PAUSE: Final = 0.05
+LISTING_QUICK_RETRY_SECONDS: Final = 2.0
 # Endings wait at most this long for their record; then the lease is renewed
 # without acknowledging them.
 ENDINGS_RECORD_TIMEOUT: Final = 1.0
--- a/pimentocross/owner/copier.py
+++ b/pimentocross/owner/copier.py
@@ -28,7 +28,7 @@
     may_hold_up,
 )
 from pimentocross.placement.field import HostList
-from pimentocross.placement.hosts import common_rack
+from pimentocross.placement.hosts import rack_with_most_runs
 from pimentocross.placement.urgency import urgency
 from pimentocross.work.state import Run, RunState, Step, Task
 
@@ -142,8 +142,8 @@
         left = self._remaining_seconds(task.step, other, now)
         self._history.note_outcome(queue, won=won)
         if won:
-            worked = now - other.state_at + left
-            self._learned.durations.note_long_task(task.step, worked)
+            run_seconds = now - other.state_at + left
+            self._learned.durations.note_long_task(task.step, run_seconds)
         kind = "copy_won" if won else "copy_lost"
         meters.add(f"{kind}_total")
         note(
@@ -252,8 +252,8 @@
     """Returns whether copies of a step are allowed and may be needed.
 
     Steps that save checkpoints get no copies, as both runs would save theirs in
-    turn. Neither do fillers, as their speed depends on the capacity that
-    serving tasks leave them.
+    turn. Neither do best-effort tasks, as their speed depends on the capacity
+    that serving tasks leave them.
     """
     spec = step.spec
     if not spec.copies or spec.lasting or spec.gang:
@@ -286,4 +286,4 @@
     if not step.spec.same_rack:
         return ""
     racks = {worker.number: worker.life.rack for worker in workers}
-    return common_rack(step.tasks, racks)
+    return rack_with_most_runs(step.tasks, racks)
--- a/pimentocross/owner/dispatcher.py
+++ b/pimentocross/owner/dispatcher.py
@@ -37,8 +37,8 @@
 
 # Steps that may fail to be placed before a pass skips the rest of their
 # placement class: the remaining steps are less urgent, and most are as large.
-# Filler steps share a class only if they run the same image, so that an image
-# that is excluded from most workers doesn't hold up other images.
+# Best-effort steps share a class only if they run the same image, so that an
+# image that is excluded from most workers doesn't hold up other images.
 _MAX_MISSES: Final = 40
 _MAX_MISSES_PER_IMAGE: Final = 8
 
--- a/pimentocross/owner/intake.py
+++ b/pimentocross/owner/intake.py
@@ -124,21 +124,21 @@
     async def _follow(self) -> None:
         while True:
             try:
-                news = await self._read(self._pace.wait, _READ_TIMEOUT)
+                update = await self._read(self._pace.wait, _READ_TIMEOUT)
             except StoreUnavailableError:
                 self._pace.restart()
                 await trio.sleep(jittered(_READ_RETRY_PAUSE))
             else:
-                self._pace.note_answer(news=bool(news.records))
+                self._pace.note_answer(has_changes=bool(update.records))
 
     async def _read(self, wait: float, timeout: float) -> TopicUpdate:
-        news = await self._reader.read(wait, timeout)
+        update = await self._reader.read(wait, timeout)
         # Compacted records come in any order, and a cancellation needs its job.
-        for record in sorted(news.records, key=_is_cancel):
+        for record in sorted(update.records, key=_is_cancel):
             if record.value is not None:
                 self._import_record(record.key, record.value)
-        self._complete_as_of = max(self._complete_as_of, news.known_at)
-        return news
+        self._complete_as_of = max(self._complete_as_of, update.known_at)
+        return update
 
     def _import_record(self, key: str, value: bytes) -> None:
         kind, job_id = key[:1], key[1:]
--- a/pimentocross/owner/job_api.py
+++ b/pimentocross/owner/job_api.py
@@ -77,9 +77,11 @@
     async def submit(
         self, job_id: str, queue: Queue, spec: JobSpec
     ) -> JobReply:
-        """Accepts a job and returns once its record is stored.
+        """Accepts a job and returns once its record is stored, or refuses it.
 
-        Submitting the same id again confirms the same job. If the store becomes
+        Submitting the same id again confirms the same job. Replies
+        `STORE_AWAY` if the store is unavailable, and `FULL` if the job would
+        certainly end too late; neither accepts it. If the store becomes
         unavailable meanwhile, replies `UNSURE` well before the caller's
         timeout.
         """
--- a/pimentocross/owner/keeper.py
+++ b/pimentocross/owner/keeper.py
@@ -90,7 +90,7 @@
             if reply.born and reply.born != worker.life.born:
                 if worker.life.is_after(reply.born):
                     # The former life sent this reply before the restart.
-                    await trio.sleep(const.HOLD_RETRY_PAUSE)
+                    await trio.sleep(const.LISTING_RETRY_PAUSE)
                     continue
                 self._context.lives.note_born(worker, reply.born)
                 if worker.gone:
@@ -174,7 +174,7 @@
         if self._worker.reachable or left <= 0:
             return timeout
         # Runs on an unreachable worker are given up once their leases ended.
-        return min(timeout, max(left, wait + const.HOLD_SLACK))
+        return min(timeout, max(left, wait + const.LISTING_SLACK))
 
     def _is_own_lateness(
         self, sent_at: float, wait: float, timeout: float
@@ -191,10 +191,10 @@
     def _retry_pause(self) -> float:
         worker, now = self._worker, trio.current_time()
         if now > worker.late_until:
-            return const.HOLD_RETRY_PAUSE
-        if now - worker.silent_since > const.HOLD_RETRY_QUICK_FOR:
-            return const.HOLD_RETRY_PAUSE
-        return const.HOLD_RETRY_QUICK
+            return const.LISTING_RETRY_PAUSE
+        if now - worker.silent_since > const.LISTING_QUICK_RETRY_SECONDS:
+            return const.LISTING_RETRY_PAUSE
+        return const.LISTING_QUICK_RETRY_PAUSE
 
     def _next_lease_deadline(self, now: float) -> float | None:
         """Returns the next lease deadline, or None to leave the lease as it is.
@@ -224,10 +224,10 @@
         if not worker.serves:
             return self._context.pace.wait(now, serving=False)
         wait = self._context.pace.wait(now, serving=worker.filled > 0)
-        # The figures of a filler that starts meanwhile are first read with the
-        # next listing, and serving tasks that it disturbs must not be over
-        # their target for four seconds.
-        return min(wait, const.HOLD_WAIT)
+        # The figures of a best-effort task that starts meanwhile are first read
+        # with the next listing, and serving tasks that it disturbs must not be
+        # over their target for four seconds.
+        return min(wait, const.LISTING_WAIT)
 
     def _on_no_reply(self, reason: str) -> None:
         worker = self._worker
--- a/pimentocross/owner/learned.py
+++ b/pimentocross/owner/learned.py
@@ -117,8 +117,8 @@
         self, worker: Worker, task: Task, run: Run, took: float
     ) -> None:
         if worker.unsound_until <= run.decided_at:
-            worked = trio.current_time() - run.state_at
-            self.durations.note_task(task.step, took, worked)
+            run_seconds = trio.current_time() - run.state_at
+            self.durations.note_task(task.step, took, run_seconds)
         else:
             # The delay comes from the unsound worker, so it must not count in
             # the tail of the queue's durations.
@@ -137,7 +137,7 @@
         """Updates the estimates from a listing that has just arrived."""
         worker.version += 1
         now = worker.last_reply_at
-        loads = worker.filler_loads()
+        loads = worker.best_effort_loads()
         readings = worker.readings(now)
         self._check_soundness(worker, readings, loads, now)
         if not worker.serves or worker.unsound_until > now:
@@ -246,7 +246,7 @@
         # a look-up for each pair of images, so it is computed only if the
         # figures are bad.
         sick = is_sick(readings, 0.0) and is_sick(
-            readings, self._explained_by_best_effort(worker, loads)
+            readings, self._rise_from_best_effort(worker, loads)
         )
         runs = [
             found
@@ -261,7 +261,7 @@
             note("worker_unsound", worker=worker.life.id, sick=sick, slow=slow)
         worker.unsound_until = now + UNSOUND_SECONDS
 
-    def _explained_by_best_effort(
+    def _rise_from_best_effort(
         self, worker: Worker, loads: Mapping[str, float]
     ) -> float:
         """Returns the rise of the worst log tail due to best-effort tasks."""
--- a/pimentocross/owner/ledger.py
+++ b/pimentocross/owner/ledger.py
@@ -100,7 +100,10 @@
         return trio.current_time() - self.stored_at
 
     def put(self, item: Recordable) -> Batch:
-        """Writes an item's current value; returns the batch that holds it."""
+        """Queues an item for the next append; returns the batch that holds it.
+
+        `run` encodes and writes the item later, with its value of that time.
+        """
         self._open_batch.items[item.key] = item
         self._changed.set()
         return self._open_batch
--- a/pimentocross/owner/listing_pace.py
+++ b/pimentocross/owner/listing_pace.py
@@ -56,8 +56,8 @@
             now: Present time.
             serving: Whether both serving and filling tasks run there.
         """
-        least = const.HOLD_WAIT_SERVING if serving else const.HOLD_WAIT
-        most = const.MAX_HOLD_WAIT_SERVING if serving else self._wait_most
+        least = const.LISTING_WAIT_SERVING if serving else const.LISTING_WAIT
+        most = const.MAX_LISTING_WAIT_SERVING if serving else self._wait_most
         affordable = (
             self._count_workers()
             * _CALL_COST_FACTOR
--- a/pimentocross/owner/owner.py
+++ b/pimentocross/owner/owner.py
@@ -133,11 +133,14 @@
             platform.switches,
         )
         formers = claim.predecessors
-        self._repeats = ResentStarts(
+        self._resent_starts = ResentStarts(
             claim.epoch, formers[0].epoch if formers else None, self._ledger
         )
         self._late_starts = LateStarts(
-            self._registry, self._ledger, self._dispatcher.wake, self._repeats
+            self._registry,
+            self._ledger,
+            self._dispatcher.wake,
+            self._resent_starts,
         )
         self._doubts = SilentLives(self._ledger)
         self._ends = WorkerEnds(self._ledger)
@@ -237,7 +240,7 @@
             # the recorded runs are adopted.
             self._lived_runs.adopt(runs)
             self._roster.adopt(runs)
-            self._repeats.begin()
+            self._resent_starts.begin()
             self._former_leases.start_recording(self._roster.lease_rows)
             self.ready.set()
             self._take_over_log.note("owner_ready", jobs=len(self._registry))
@@ -394,7 +397,7 @@
         elif kind == records.WORKER_ENDS:
             self._ends.restore(value)
         elif kind == records.RESENT_STARTS:
-            self._repeats.restore(value)
+            self._resent_starts.restore(value)
         elif kind == records.LIVED_RUNS:
             self._lived_runs.restore(value)
         elif kind == records.LEASES:
--- a/pimentocross/owner/placer.py
+++ b/pimentocross/owner/placer.py
@@ -11,7 +11,7 @@
 from pimentocross.owner.worker import Worker
 from pimentocross.placement.field import HostIndex, HostList, HostPool
 from pimentocross.placement.host import allows
-from pimentocross.placement.hosts import common_rack
+from pimentocross.placement.hosts import rack_with_most_runs
 from pimentocross.work.state import Run, Step, Task
 
 # With this many workers that have a ticket and enough free capacity, the
@@ -87,7 +87,7 @@
         """Places waiting tasks of a step one by one until none fits."""
         rack = ""
         if step.spec.same_rack:
-            rack = common_rack(step.tasks, self._racks)
+            rack = rack_with_most_runs(step.tasks, self._racks)
         placed = []
         no_isolated_place = False
         for task in step.waiting():
@@ -156,7 +156,7 @@
             return None
         if task.step.spec.fills:
             image = task.step.spec.image
-            self._rebalancer.note_filler(image, worker, self._now)
+            self._rebalancer.note_best_effort_start(image, worker, self._now)
         run = Run(number, worker.number, self._now)
         task.destination = None
         task.add_run(run)
--- a/pimentocross/owner/rebalancer.py
+++ b/pimentocross/owner/rebalancer.py
@@ -1,7 +1,7 @@
-"""Moves serving tasks so that more workers can take filler tasks.
+"""Moves serving tasks so that more workers can take best-effort tasks.
 
-A filler is a task (`fills`) that uses capacity which the serving tasks of its
-worker leave over. It is not placed beside images that it would disturb.
+A best-effort task (`fills`) uses capacity which the serving tasks of its worker
+leave over. It is not placed beside images that it would disturb.
 """
 
 from collections import Counter
@@ -55,8 +55,8 @@
         self._disturbance = learned.disturbance
         self._demand = Demand()
         self._moving: list[_MoveInProgress] = []
-        # Monotonic time at which a doubtful pair of each filler image was last
-        # tried again.
+        # Monotonic time at which a pair of a serving image and this best-effort
+        # image, whose disturbance was uncertain, was last measured again.
         self._retried_at: dict[str, float] = {}
         self._last_pass_at = float("-inf")
 
@@ -67,7 +67,7 @@
         orders: Orders,
         now: float,
     ) -> None:
-        """Moves serving tasks that keep waiting fillers off workers.
+        """Moves serving tasks that keep waiting best-effort tasks off workers.
 
         Args:
             waiting: Waiting steps that can still meet their objective.
@@ -78,7 +78,7 @@
         if now - self._last_pass_at < _PASS_INTERVAL:
             return
         self._last_pass_at = now
-        demand = self._demand.note(_filler_demand(waiting, workers), now)
+        demand = self._demand.note(_best_effort_demand(waiting, workers), now)
         compatibility = Compatibility(demand, self._disturbance)
         scarcity = scarcities(demand, workers, compatibility)
         capacity_value = CapacityValue(
@@ -88,7 +88,7 @@
         self._move(workers, capacity_value, orders, now)
 
     def renew_probes(self, workers: Sequence[Worker], now: float) -> None:
-        """Recomputes which doubtful pairs of images are being tried."""
+        """Recomputes which pairs of images are being measured."""
         self._retried_at = {
             image: at
             for image, at in self._retried_at.items()
@@ -97,8 +97,10 @@
         probes = Probes(self._disturbance, workers, self._retried_at)
         self.view = self.view._replace(probes=probes)
 
-    def note_filler(self, image: str, worker: Worker, now: float) -> None:
-        """Notes that a filler of an image is about to start on a worker."""
+    def note_best_effort_start(
+        self, image: str, worker: Worker, now: float
+    ) -> None:
+        """Notes that a best-effort task is about to start on a worker."""
         if self.view.probes.note(image, worker):
             self._retried_at[image] = now
             note("pair_retried", image=image, worker=worker.life.id)
@@ -126,12 +128,12 @@
             busy = {n for m in self._moving for n in m.workers}
             # Each step is checked once instead of once per task.
             steps = {candidate.task.step for candidate in candidates}
-            may_leave = {step for step in steps if may_evict_task(step)}
+            evictable_steps = {step for step in steps if may_evict_task(step)}
             candidates = [
                 candidate
                 for candidate in candidates
                 if candidate.host.number not in busy
-                and candidate.task.step in may_leave
+                and candidate.task.step in evictable_steps
             ]
             # One move is always allowed: in a small cell even a single exchange
             # exceeds the share.
@@ -161,10 +163,13 @@
     workers: tuple[int, int]
 
 
-def _filler_demand(
+def _best_effort_demand(
     waiting: Iterable[Step], workers: Iterable[Worker]
 ) -> Counter[str]:
-    """Returns the CPU demand of running and waiting fillers, by image."""
+    """Returns the CPU demand of best-effort tasks, by image.
+
+    Counts the running and the waiting tasks.
+    """
     wanted: Counter[str] = Counter()
     for step in waiting:
         if step.spec.fills:
--- a/pimentocross/owner/roster.py
+++ b/pimentocross/owner/roster.py
@@ -84,8 +84,8 @@
         self._keepers: dict[str, LeaseKeeper] = {}
         # Keepers that have not been started yet.
         self._idle_keepers: list[LeaseKeeper] = []
-        # Birth times of lives that have ended and may still be listed, by id.
-        self._ended_born: dict[str, int] = {}
+        # Birth times of ended lives that the directory may still list, by id.
+        self._ended_birth_times: dict[str, int] = {}
         # Number of lives in the newest directory list.
         self._listed_count = 0
         # How many lives of each id this owner has met.
@@ -226,20 +226,20 @@
                 self._forget_worker(worker)
                 if worker.replaced:
                     # The directory entry outlives its worker by seconds.
-                    self._ended_born[life_id] = worker.life.born
+                    self._ended_birth_times[life_id] = worker.life.born
 
     def _filter_ended(self, lives: Iterable[WorkerLife]) -> list[WorkerLife]:
         """Leaves out lives that have ended; forgets those no longer listed."""
         listed = list(lives)
         ids = {life.id for life in listed}
-        self._ended_born = {
-            i: born for i, born in self._ended_born.items() if i in ids
+        self._ended_birth_times = {
+            i: born for i, born in self._ended_birth_times.items() if i in ids
         }
         return [
             life
             for life in listed
-            if life.id not in self._ended_born
-            or life.is_after(self._ended_born[life.id])
+            if life.id not in self._ended_birth_times
+            or life.is_after(self._ended_birth_times[life.id])
         ]
 
     def adopt(self, runs: Iterable[tuple[Task, Run]]) -> None:
--- a/pimentocross/owner/run_control.py
+++ b/pimentocross/owner/run_control.py
@@ -1,7 +1,7 @@
-"""Controls running tasks: stops unwanted runs and paces fillers.
+"""Controls running tasks: stops unwanted runs and paces best-effort tasks.
 
-A filler is a task (`fills`) that uses capacity which the serving tasks of its
-worker leave over. It is slowed down or moved if it disturbs them.
+A best-effort task (`fills`) uses capacity which the serving tasks of its worker
+leave over. It is slowed down or moved if it disturbs them.
 """
 
 from typing import Final, NamedTuple
@@ -26,8 +26,8 @@
 from pimentocross.placement.stalls import is_stalled
 from pimentocross.work.state import Run, RunState, Task
 
-# Seconds at a very low pace after which a filler is moved: about the cost of
-# its stop and its new start, of which the stop takes at most 0.4 s.
+# Seconds at a very low pace after which a best-effort task is moved: about the
+# cost of its stop and its new start, of which the stop takes at most 0.4 s.
 _STUCK_TIMEOUT: Final = 0.8
 # A run whose progress is below this percentage loses little by a move.
 _CHEAP_MOVE_PERCENT: Final = 25
@@ -72,7 +72,7 @@
         for worker in due:
             self._stop_unwanted(worker, orders, now)
         for worker in due:
-            self._pace_fillers(worker, orders, now)
+            self._pace_best_effort(worker, orders, now)
 
     def _is_due(self, worker: Worker, now: float) -> bool:
         """Returns whether the runs of a worker have to be checked."""
@@ -148,19 +148,21 @@
         left = elapsed * (100 - run.percent) / run.percent
         return left > worker.drain_left(now)
 
-    def _pace_fillers(self, worker: Worker, orders: Orders, now: float) -> None:
+    def _pace_best_effort(
+        self, worker: Worker, orders: Orders, now: float
+    ) -> None:
         is_settled = now - worker.paced_at >= SETTLING_SECONDS
         if worker.filled and (
             is_settled or worker.seconds_over_target(now) >= STOP_AFTER_SECONDS
         ):
-            self._pace_fillers_on(worker, orders, now)
+            self._pace_best_effort_on(worker, orders, now)
 
     def _must_leave(self, worker: Worker, task: Task, run: Run) -> bool:
-        """Returns whether a filler certainly disturbs a serving task here.
+        """Returns whether a best-effort run must be stopped at once.
 
-        This applies when a serving task was placed beside the filler. Its
-        latency readings would show the disturbance only after half a second or
-        more.
+        True if it certainly disturbs a serving task on the worker and is cheap
+        to move. This happens when a serving task was placed beside it: latency
+        readings would show the disturbance only after half a second or more.
         """
         spec = task.step.spec
         share = spec.size.cpu / max(worker.life.capacity.cpu, 1)
@@ -178,7 +180,11 @@
         return harm > MAX_HARM and cheap_to_move
 
     def _is_misplaced(self, worker: Worker, task: Task, run: Run) -> bool:
-        """Returns whether a filler disturbs others and is cheap to move."""
+        """Returns whether a slow best-effort run should be moved.
+
+        True if it is cheap to move, and either disturbs a serving image or was
+        already slowed down without effect.
+        """
         spec = task.step.spec
         if not spec.saves and run.percent >= _CHEAP_MOVE_PERCENT:
             return False
@@ -190,7 +196,7 @@
             for image in worker.serving
         )
 
-    def _pace_fillers_on(
+    def _pace_best_effort_on(
         self, worker: Worker, orders: Orders, now: float
     ) -> None:
         capacity = max(worker.life.capacity.cpu, 1)
@@ -203,7 +209,7 @@
             if self._must_leave(worker, task, run):
                 orders.stop(worker, task, run, "would disturb what serves")
                 runs.remove((task, run))
-        fillers = [
+        best_effort_runs = [
             BestEffortRun(
                 task.step.spec.image,
                 task.step.spec.size.cpu / capacity,
@@ -212,7 +218,7 @@
             for task, run in runs
         ]
         paces = next_paces(
-            worker.readings(now), fillers, self._learned.disturbance
+            worker.readings(now), best_effort_runs, self._learned.disturbance
         )
         for (task, run), pace in zip(runs, paces, strict=True):
             stuck = (
--- a/pimentocross/owner/worker.py
+++ b/pimentocross/owner/worker.py
@@ -24,8 +24,8 @@
 RunKey = tuple[Task, int]
 # Progress percentage that a worker lists for a lasting task that is at work.
 AT_WORK_PERCENT: Final = 100
-# Seconds for which a stopped filler still affects the figures of other runs: a
-# figure covers half a second, and a queue takes a moment to drain.
+# Seconds for which a stopped best-effort run still affects the figures of other
+# runs: a figure covers half a second, and a queue takes a moment to drain.
 FIGURE_WINDOW: Final = 0.7
 # Seconds over its target after which a serving image counts as suffering.
 # Figures are read every half second and one in thirty is over the target by
@@ -33,8 +33,8 @@
 SUFFERS_AFTER: Final = 0.8
 
 
-class StoppedFiller(NamedTuple):
-    """A run of a filling task that was removed from a worker.
+class StoppedBestEffortRun(NamedTuple):
+    """A run of a best-effort task that was removed from a worker.
 
     Attributes:
         at: When it was removed, monotonic seconds.
@@ -68,7 +68,8 @@
         last_reply_at: When it last listed its runs, monotonic.
         newest_stored_ending: Number of the newest ending whose record is
             stored.
-        paced_at: When fillers on it were last slowed or sped up, monotonic.
+        paced_at: When its best-effort runs were last slowed or sped up,
+            monotonic.
         unsound_until: Until when it gets no new runs, monotonic.
         draining_since: When it was first listed as draining, or None.
         calls: Limits the concurrent orders to it.
@@ -139,7 +140,7 @@
         self.calls = trio.Semaphore(orders_at_once)
         self.paced_at = 0.0
         self.unsound_until = float("-inf")
-        self._stopped_fillers: deque[StoppedFiller] = deque()
+        self._stopped_best_effort: deque[StoppedBestEffortRun] = deque()
         self._step_counts: dict[Step, int] = {}
         self._short_run_counts: dict[Step, int] = {}
         self._over_target_since: dict[str, float] = {}
@@ -240,7 +241,9 @@
         if task.step.spec.fills and run.figure:
             now = trio.current_time()
             image = task.step.spec.image
-            self._stopped_fillers.append(StoppedFiller(now, image, run.figure))
+            self._stopped_best_effort.append(
+                StoppedBestEffortRun(now, image, run.figure)
+            )
         self.committed = self.committed.minus(task.step.spec.committed)
         self._count_image(task, -1)
         self._count_step(task.step, -1)
@@ -304,8 +307,8 @@
         if counter[spec.image] <= 0:
             del counter[spec.image]
 
-    def filler_loads(self) -> dict[str, float]:
-        """Returns the share of its processors that fillers use, by image."""
+    def best_effort_loads(self) -> dict[str, float]:
+        """Returns the share of its CPU that best-effort tasks use, by image."""
         used: Counter[str] = Counter()
         for (task, _), run in self.runs.items():
             spec = task.step.spec
@@ -313,11 +316,11 @@
                 used[spec.image] += run.figure
         now = trio.current_time()
         while (
-            self._stopped_fillers
-            and now - self._stopped_fillers[0].at > FIGURE_WINDOW
+            self._stopped_best_effort
+            and now - self._stopped_best_effort[0].at > FIGURE_WINDOW
         ):
-            self._stopped_fillers.popleft()
-        for stopped in self._stopped_fillers:
+            self._stopped_best_effort.popleft()
+        for stopped in self._stopped_best_effort:
             # The figures of runs that it disturbed still include a part of it.
             share = 1.0 - (now - stopped.at) / FIGURE_WINDOW
             used[stopped.image] += int(stopped.figure * share)
--- a/pimentocross/placement/copies.py
+++ b/pimentocross/placement/copies.py
@@ -71,8 +71,9 @@
 
     Attributes:
         capacity: Capacity of all workers.
-        spare: Free time beyond the waiting tasks' needs and the headroom.
-        taken: Time that copies have reserved.
+        spare: Free processor time beyond the waiting tasks' needs and the
+            headroom.
+        taken: Processor time that copies have reserved.
     """
 
     capacity: float
@@ -85,8 +86,8 @@
         One copy is allowed beyond the share, so that a small cell may have it.
         """
         most = _MAX_COPY_SHARE * self.capacity
-        within_share = not self.taken or self.taken + asked <= most
-        return asked <= self.spare and within_share
+        is_within_share = not self.taken or self.taken + asked <= most
+        return asked <= self.spare and is_within_share
 
     def after(self, asked: float) -> "CopyBudget":
         """Returns the budget after one more copy."""
--- a/pimentocross/placement/disturbance.py
+++ b/pimentocross/placement/disturbance.py
@@ -61,7 +61,7 @@
 _DISTURBING_FROM: Final = 1.5
 # One or two readings beside a best-effort task of usual size bring the variance
 # below this: enough to detect a pair that disturbs strongly.
-_TRIED_VARIANCE: Final = 0.75 * _PAIR_PRIOR.variance
+_MEASURED_PAIR_VARIANCE: Final = 0.75 * _PAIR_PRIOR.variance
 # From this variance on, a pair that seems to disturb may well be harmless: its
 # coefficient is as close to 0 as its standard deviation is wide.
 _UNCERTAIN_VARIANCE: Final = 1.0
@@ -155,7 +155,7 @@
     def is_untried(self, serving: str, filling: str) -> bool:
         """Returns whether a pair has hardly any readings."""
         known = self._estimate(serving, filling)
-        return known.variance > _TRIED_VARIANCE
+        return known.variance > _MEASURED_PAIR_VARIANCE
 
     def expected_increase(
         self, serving: str, loads: Mapping[str, float]
--- a/pimentocross/placement/durations.py
+++ b/pimentocross/placement/durations.py
@@ -107,22 +107,22 @@
         variance = self._variances.get(queue, _PRIOR_SPREAD**2)
         self._variances[queue] = variance + weight * (deviation**2 - variance)
 
-    def note_task(self, step: Step, seconds: float, worked: float) -> None:
+    def note_task(self, step: Step, seconds: float, run_seconds: float) -> None:
         """Records the duration of a task that ended on a healthy worker.
 
         Args:
             step: The step of the task.
             seconds: Seconds since the scheduling decision.
-            worked: Seconds since the start of the task.
+            run_seconds: Seconds since the start of the task.
         """
         queue = step.job.queue.name
-        logarithm = math.log(max(worked, 0.01))
+        logarithm = math.log(max(run_seconds, 0.01))
         usual = self._means.get(queue, logarithm)
         if step.spec.estimate > 0:
             predicted = math.log(step.spec.estimate) - usual
             known = self._estimates.setdefault(queue, Estimates())
             known.note(predicted, logarithm - usual, 1 / step.spec.width)
-        self.note_long_task(step, worked)
+        self.note_long_task(step, run_seconds)
         tasks, mean = self._steps.get(step, _EndedTasks(0, 0.0))
         if tasks >= _MIN_ENDED_TASKS:
             self._note_variance_within_step(queue, logarithm - mean)
@@ -132,7 +132,7 @@
             self._note_step(queue, math.exp(mean - usual))
         self.note(queue, seconds)
 
-    def note_long_task(self, step: Step, worked: float) -> None:
+    def note_long_task(self, step: Step, run_seconds: float) -> None:
         """Records how long a task took compared with others of its step.
 
         Also called with the projected duration of a run that was stopped
@@ -141,7 +141,7 @@
 
         Args:
             step: The step of the task.
-            worked: Seconds since the start of the task.
+            run_seconds: Seconds since the start of the task.
         """
         ended = self._steps.get(step)
         if ended is None or ended.tasks < _MIN_ENDED_TASKS:
@@ -151,7 +151,7 @@
         if known is None:
             known = Tail(_MIN_TASKS, _TASKS_REMEMBERED)
             self._long_tasks[queue] = known
-        known.note(worked / math.exp(ended.mean))
+        known.note(run_seconds / math.exp(ended.mean))
 
     def _note_variance_within_step(self, queue: str, deviation: float) -> None:
         variance = self._variances_within_steps.get(queue, _PRIOR_SPREAD**2)
--- a/pimentocross/placement/field.py
+++ b/pimentocross/placement/field.py
@@ -266,7 +266,11 @@
     def _prefilter(
         self, spec: StepSpec, positions: Iterable[int]
     ) -> Iterable[int]:
-        """Drops workers that are full or that exclude a best-effort image.
+        """Drops workers that can't run a task of a best-effort step.
+
+        These have too little processor time left over, or run serving images
+        that exclude the step's image. Positions are returned unchanged for a
+        step that isn't best-effort.
 
         While best-effort images wait for room or for their first measurements,
         most workers of the cell are dropped here. Evaluating each of them took
--- a/pimentocross/placement/hosts.py
+++ b/pimentocross/placement/hosts.py
@@ -148,7 +148,7 @@
         return fit
     if not tolerates(serving, spec.image, disturbance):
         scarcity = context.capacity_value.scarcity(spec.image)
-        if context.probes.may_retry(spec.image, host, scarcity):
+        if context.probes.may_remeasure(spec.image, host, scarcity):
             return fit + _RETRY_PENALTY
         return math.inf
     if not context.probes.allows(spec.image, host):
@@ -261,8 +261,10 @@
     return spec.rack or (rack if spec.same_rack else "")
 
 
-def common_rack(tasks: Iterable[Task], rack_of: Mapping[int, str]) -> str:
-    """Returns the rack with most runs of a step's tasks, or ""."""
+def rack_with_most_runs(
+    tasks: Iterable[Task], rack_of: Mapping[int, str]
+) -> str:
+    """Returns the rack with the most runs of the tasks, "" without runs."""
     counts: dict[str, int] = {}
     for task in tasks:
         for run in task.runs.values():
--- a/pimentocross/placement/layout.py
+++ b/pimentocross/placement/layout.py
@@ -30,7 +30,7 @@
 # Share of a worker's value that depends on how many images it admits; the rest
 # depends on the scarcest one. One image is enough to use a worker, but the next
 # jobs may be of any image.
-_BREADTH_WEIGHT: Final = 0.3
+_SCARCITY_SHARE_WEIGHT: Final = 0.3
 # Number of rounds of dividing room among images, until the shares settle.
 _ROUNDS: Final = 3
 # Images with at least this many times the requested room count as not scarce.
@@ -245,8 +245,11 @@
                 continue
             best = max(best, value)
             total_value += value
-        breadth = total_value / self._total_scarcity
-        return room * ((1 - _BREADTH_WEIGHT) * best + _BREADTH_WEIGHT * breadth)
+        scarcity_share = total_value / self._total_scarcity
+        return room * (
+            (1 - _SCARCITY_SHARE_WEIGHT) * best
+            + _SCARCITY_SHARE_WEIGHT * scarcity_share
+        )
 
     def value_lost_to(self, host: Host, image: str, cpu: int) -> float:
         """Returns the value that a worker loses to a new serving task."""
--- a/pimentocross/placement/probes.py
+++ b/pimentocross/placement/probes.py
@@ -80,7 +80,7 @@
         return self._workers[(serving, filling)] >= MAX_TRIAL_WORKERS
 
     def is_retry_due(self, filling: str, scarcity: float) -> bool:
-        """Returns whether an uncertain pair of an image may be tried again.
+        """Returns whether uncertain pairs of an image may be measured again.
 
         Args:
             filling: The best-effort image.
@@ -88,8 +88,8 @@
         """
         return scarcity >= RETRY_MIN_SCARCITY and filling not in self._retried
 
-    def may_retry(self, filling: str, host: Host, scarcity: float) -> bool:
-        """Returns whether a task may be placed to try uncertain pairs again.
+    def may_remeasure(self, filling: str, host: Host, scarcity: float) -> bool:
+        """Returns whether a task may measure uncertain pairs again on a worker.
 
         True only if every disturbing pair on the worker is uncertain.
 
@@ -111,10 +111,10 @@
         )
 
     def note(self, filling: str, host: Host) -> bool:
-        """Records a task that is about to start.
+        """Records a best-effort task that is about to start.
 
         Returns:
-            Whether the task tries an uncertain pair again.
+            Whether the task measures an uncertain pair again.
         """
         self._count(filling, host)
         if any(self._disturbance.disturbs(i, filling) for i in host.serving):
--- a/pimentocross/placement/quarantine.py
+++ b/pimentocross/placement/quarantine.py
@@ -171,7 +171,10 @@
             record.has_trial = True
 
     def note_lost(self, worker: str) -> None:
-        """Records that a trial task ended without success or failure."""
+        """Clears the trial mark of a worker, so that another trial may start.
+
+        Called when a task on the worker ended without success or failure.
+        """
         record = self._records.get(worker)
         if record is not None:
             record.has_trial = False
--- a/pimentocross/placement/urgency.py
+++ b/pimentocross/placement/urgency.py
@@ -70,9 +70,11 @@
     if spare >= 0:
         chance = _class_if_in_time(job, spare, time_limit)
         return Urgency(job.queue.priority, chance, spare)
-    late_spare = LATE_FACTOR * time_limit - waited - remaining
+    seconds_until_hopeless = LATE_FACTOR * time_limit - waited - remaining
     return Urgency(
-        job.queue.priority, _class_if_late(job, late_spare), late_spare
+        job.queue.priority,
+        _class_if_late(job, seconds_until_hopeless),
+        seconds_until_hopeless,
     )
 
 
@@ -96,8 +98,8 @@
     return DeadlineClass.TIGHT
 
 
-def _class_if_late(job: Job, late_spare: float) -> DeadlineClass:
-    if late_spare < 0:
+def _class_if_late(job: Job, seconds_until_hopeless: float) -> DeadlineClass:
+    if seconds_until_hopeless < 0:
         return DeadlineClass.HOPELESS
     if job.state is JobState.RUNNING:
         return DeadlineClass.LATE_BEGUN
--- a/pimentocross/platform/settings.py
+++ b/pimentocross/platform/settings.py
@@ -16,7 +16,7 @@
 # The port that deploy/system.toml declares to the platform.
 _DEFAULT_METRICS_PORT: Final = "9464"
 # Defaults for bounds that the settings file omits, from the users' pages.
-_DEFAULT_MAX_HOLD_MS: Final = 6000.0
+_DEFAULT_MAX_LEASE_MS: Final = 6000.0
 _DEFAULT_STATUS_S: Final = 120.0
 _DEFAULT_CONFIG_APPLY_MS: Final = 2000.0
 _DEFAULT_MAX_FDS: Final = 4096.0
@@ -83,7 +83,7 @@
         store_address=require("platform.address"),
         adviser_address=values.get("recommendation", ""),
         lease_most=_number(
-            values, "bounds.max_hold_ms", _DEFAULT_MAX_HOLD_MS, findings
+            values, "bounds.max_hold_ms", _DEFAULT_MAX_LEASE_MS, findings
         )
         / 1000,
         ended_least=_number(
@@ -119,8 +119,8 @@
         line = line.strip()
         if not line or line.startswith(_COMMENT):
             continue
-        name, equals, value = line.partition("=")
-        if not equals:
+        name, separator, value = line.partition("=")
+        if not separator:
             findings.append(f"{path}:{number}: no '='")
         values[name.strip()] = value.strip()
     return values
--- a/pimentocross/platform/topics.py
+++ b/pimentocross/platform/topics.py
@@ -6,7 +6,7 @@
 from pimentocross.contracts.store import Record, Store
 from pimentocross.contracts.topic_reader import TopicReader
 from pimentocross.contracts.worker_link import WorkerLife
-from pimentocross.gateway.config_follower import ConfigNews
+from pimentocross.gateway.config_follower import ConfigReply
 from pimentocross.observe.decisions import note
 from pimentocross.platform.wire import WireError, read_config, read_worker
 from pimentocross.work.queue import WorkConfig
@@ -39,7 +39,7 @@
         timeout: float,
         again_after: float = HEDGE_DELAY,
         urgent: trio.Event | None = None,
-    ) -> ConfigNews:
+    ) -> ConfigReply:
         """Returns the newest configuration if new; see `ConfigSource`."""
         update = await self._reader.read(wait, timeout, again_after, urgent)
         if update.is_snapshot:
@@ -57,7 +57,7 @@
                 continue
             if found is None or config.version > found.version:
                 found = config
-        return ConfigNews(
+        return ConfigReply(
             found, update.known_at, update.asked_at, frozenset(self._evacuated)
         )
 
--- a/pimentocross/platform/wire.py
+++ b/pimentocross/platform/wire.py
@@ -52,7 +52,7 @@
     gpus: Annotated[int, msgspec.Meta(ge=0, le=_MAX_GPUS)] = 0
 
 
-class _Server(msgspec.Struct):
+class _WorkerEntry(msgspec.Struct):
     """The entry that a worker writes about itself to the store.
 
     Other writers may add entries to the topic too. Fields that workers always
@@ -152,6 +152,7 @@
     run: int
     checkpoint: str
     percent: int
+    # Tail latency in ms of a serving task, else CPU use in millicores.
     figure: int = 0
 
 
@@ -189,7 +190,7 @@
     "alone": EndKind.GANG_ALONE,
 }
 
-_decode_server = msgspec.json.Decoder(_Server).decode
+_decode_server = msgspec.json.Decoder(_WorkerEntry).decode
 _decode_config = msgspec.json.Decoder(_Config).decode
 _decode_submission = msgspec.json.Decoder(_Submission, strict=False).decode
 _decode_hold = msgspec.json.Decoder(_HoldReply).decode
--- a/pimentocross/work/records.py
+++ b/pimentocross/work/records.py
@@ -28,7 +28,8 @@
 # software must be able to read.
 CRASHES: Final = "c"
 LATE_STARTS: Final = "s"
-# Earlier versions of the software stored until when starts may arrive late, as
+# A late start is one that a worker may still carry out after its call got no
+# answer. Earlier versions of the software stored until when that may happen, as
 # times of their VM's clock. The record is removed: an earlier version would
 # rely on it although it isn't updated any more.
 LEGACY_LATE_STARTS: Final = "h"
@@ -70,7 +71,10 @@
 
 
 class TaskRecord(NamedTuple):
-    """A task that was started and isn't done."""
+    """A task that was started.
+
+    A task that is done has a record only while a run of it may be on a worker.
+    """
 
     position: int
     last_run: int
@@ -87,7 +91,8 @@
         step: Number of the step.
         done: A bit for each task that is done, the lowest bit of the first byte
             for task 0.
-        tasks: Tasks that were started and aren't done.
+        tasks: Tasks that were started, except those that are done and have no
+            run left on a worker.
     """
 
     occurrence: int
@@ -573,10 +578,10 @@
 
 
 def _tasks_record(step: Step) -> tuple[int, list[TaskRecord]]:
-    """Returns a bit mask of the done tasks, and records of the others.
+    """Returns a bit mask of the done tasks, and the records of tasks.
 
-    A task that is done has a record as well while a run of it may be on a
-    worker.
+    A started task has a record until it is done and none of its runs may be on
+    a worker any more.
     """
     done = 0
     tasks = []
--- a/pimentocross/work/state.py
+++ b/pimentocross/work/state.py
@@ -50,8 +50,9 @@
         began_at: When the run was first listed as running, or 0.
         percent: Progress as last listed; 100 for a serving task that works.
         percent_at: When the progress last changed.
-        figure: Tail of the response times in ms of a serving task, else the
-            processor time in use, in thousandths of a core.
+        figure: Measured value of the run, by the kind of its task: tail of the
+            response times in milliseconds of a serving task, else the processor
+            time in use, in thousandths of a core.
         pace: Speed limit of the run in percent.
         paced_at: When the speed limit was last changed.
         stopped_at: When the worker confirmed that it is stopping the run, or 0.
@@ -324,7 +325,7 @@
         self.has_run = False
         self.given_up = False
         # Counted rather than recomputed: it is read at each end of a run, and a
-        # scan would take time proportional to the number of tasks.
+        # scan would take time proportional to the number of steps.
         self._steps_left = sum(
             step.undone > 0
             for occurrence in self.occurrences
--- a/pimentocross/zones/cell.py
+++ b/pimentocross/zones/cell.py
@@ -136,7 +136,7 @@
         return self._roster.workers
 
     def explain_worker(self, worker: str) -> str:
-        """Returns why a worker is given no batch tasks, or ""."""
+        """Returns why a worker is quarantined, or "" if it is not."""
         return self._placer.explain(worker)
 
     @property
@@ -289,7 +289,7 @@
         self._placer.learn(worker, usage)
 
     def on_change(self, worker: Worker) -> None:
-        """Handles a change of a worker's health, capacity or address."""
+        """Handles a change of reachability, draining or service address."""
         if worker.leaving:
             self._evict_all(worker)
         self._placer.count_classes(worker, self._tasks)
--- a/pimentocross/zones/placer.py
+++ b/pimentocross/zones/placer.py
@@ -116,7 +116,7 @@
             self._quarantine.note_failed(worker, job, trio.current_time())
 
     def note_lost(self, worker: str) -> None:
-        """Records that an attempt ended for no fault of the worker."""
+        """Allows another trial task on a worker if it is quarantined."""
         self._quarantine.note_lost(worker)
 
     def count_classes(
@@ -153,7 +153,7 @@
             )
 
     def explain(self, worker: str) -> str:
-        """Returns why a worker is given no batch tasks, or ""."""
+        """Returns why a worker is quarantined, or "" if it is not."""
         return self._quarantine.explain(worker, trio.current_time())
 
     def _policy(self, config: Configuration | None) -> PlacementPolicy:
--- a/tests/gateway_fixtures.py
+++ b/tests/gateway_fixtures.py
@@ -59,7 +59,7 @@
         self.config = config
         self.current = current
 
-    async def ensure_current(self) -> bool:
+    async def check_current(self) -> bool:
         """Returns `current`."""
         await trio.lowlevel.checkpoint()
         return self.current
--- a/tests/test_config_current.py
+++ b/tests/test_config_current.py
@@ -146,7 +146,7 @@
         async with trio.open_nursery() as nursery:
             for _ in range(100):
                 nursery.start_soon(
-                    follower.ensure_newest_since, trio.current_time()
+                    follower.check_newest_since, trio.current_time()
                 )
         assert follower.config is not None
         assert follower.config.version == version
@@ -158,7 +158,7 @@
         followed.store.faults.away = True
         await trio.sleep(3.0)
         began = trio.current_time()
-        assert not await followed.follower.ensure_current()
+        assert not await followed.follower.check_current()
         assert trio.current_time() == began
 
 
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -214,7 +214,7 @@
         cut_at = trio.current_time()
         on_it = sum(e.worker == victim for e in hall.journal)
         await wait_until(lambda: count(hall.journal, "start") == 4 + on_it)
-        assert trio.current_time() - cut_at > const.LEASE - const.HOLD_WAIT
+        assert trio.current_time() - cut_at > const.LEASE - const.LISTING_WAIT
         # The stand-in logs lapsed runs only when it is asked for a listing.
         hall.workers[victim].listing()
     events = sorted(hall.journal, key=lambda e: (e.at, e.what == "start"))
--- a/tests/test_silent_store.py
+++ b/tests/test_silent_store.py
@@ -145,7 +145,7 @@
             await trio.sleep(5.0 + step * 0.1)
             await vms.publish()
             await trio.sleep(0.2)
-            assert await vms.first.follower.ensure_current()
+            assert await vms.first.follower.check_current()
             assert vms.first.version == 2
 
 
@@ -155,7 +155,7 @@
         await trio.sleep(5.0)
         calls_before = vms.store.calls
         for _ in range(200):
-            assert await vms.first.follower.ensure_current()
+            assert await vms.first.follower.check_current()
             await trio.sleep(0.005)
         # Each look-up is followed by a waiting read.
         assert vms.store.calls - calls_before <= 2 * 10 + 2 * _VMS
@@ -168,7 +168,7 @@
         vms.store.faults.delay = 0.4
         began = trio.current_time()
         for _ in range(20):
-            await vms.first.follower.ensure_current()
+            await vms.first.follower.check_current()
         assert trio.current_time() - began < 0.25
 
 
@@ -199,9 +199,9 @@
     """Each new record of a series, and a restart, reset the wait."""
     pace = PollPace(1.0)
     waits = []
-    for news in (False, False, False, False, True, True, False):
+    for has_changes in (False, False, False, False, True, True, False):
         waits.append(pace.wait)
-        pace.note_answer(news=news)
+        pace.note_answer(has_changes=has_changes)
     assert waits == [0.125, 0.25, 0.5, 1.0, 1.0, 0.125, 0.125]
     pace.restart()
     assert pace.wait == 0.125
