--- a/pimentocross/contracts/topic_reader.py
+++ b/pimentocross/contracts/topic_reader.py
@@ -148,5 +148,7 @@
         return float("-inf")
     # An empty page that comes after the full wait shows that there were no new
     # records until then.
-    waited = trio.current_time() - read.asked_at >= read.wait
-    return read.asked_at + (read.wait if waited and not page.records else 0.0)
+    has_waited_fully = trio.current_time() - read.asked_at >= read.wait
+    return read.asked_at + (
+        read.wait if has_waited_fully and not page.records else 0.0
+    )
--- a/pimentocross/entry/membership.py
+++ b/pimentocross/entry/membership.py
@@ -312,8 +312,10 @@
             )
         if link is None or link.identity is None or not link.connected:
             return False
-        newer = started_at(link.identity.process) > started_at(member.process)
-        return newer and link.identity.process != member.process
+        is_newer = started_at(link.identity.process) > started_at(
+            member.process
+        )
+        return is_newer and link.identity.process != member.process
 
 
 def started_at(process: str) -> int:
--- a/pimentocross/entry/targets.py
+++ b/pimentocross/entry/targets.py
@@ -113,7 +113,7 @@
         return bool(self._by_service.get(service))
 
     def all_tried(self, service: str, tried: set[str]) -> bool:
-        """Returns True if all targets of the service were tried."""
+        """Returns True if no target of the service is left to try."""
         return all(
             t.address in tried for t in self._by_service.get(service, [])
         )
--- a/pimentocross/gateway/election.py
+++ b/pimentocross/gateway/election.py
@@ -119,8 +119,8 @@
     def owner_absent(self) -> float:
         """Returns the seconds for which no owner has been reachable, or 0."""
         owner, link = self.owner, self.link
-        here = owner is not None and owner.ready.is_set()
-        if here or (link is not None and link.usable):
+        is_owner_here = owner is not None and owner.ready.is_set()
+        if is_owner_here or (link is not None and link.usable):
             self._unowned_since = trio.current_time()
         return trio.current_time() - self._unowned_since
 
@@ -418,7 +418,9 @@
     async def _confirm_suspicion(
         self, claim: OwnerClaim, link: OwnerLink, reason: str
     ) -> bool:
-        """Returns whether a suspected owner has stopped writing to the store.
+        """Returns whether a suspected owner has ended or stopped writing.
+
+        False also if a newer claim was read or the store does not answer.
 
         Args:
             claim: The suspect's claim.
@@ -452,9 +454,9 @@
         except StoreUnavailableError as error:
             note("suspect_unconfirmed", reason=reason, store=str(error))
             return False
-        writes = second > first
-        note("suspect", owner=claim.vm, reason=reason, writes=writes)
-        return not writes and bool(self._find_suspicion(claim, link))
+        is_writing = second > first
+        note("suspect", owner=claim.vm, reason=reason, writes=is_writing)
+        return not is_writing and bool(self._find_suspicion(claim, link))
 
     async def _read_jobs_end(self) -> int:
         """Returns the end offset of the topic that the owner writes."""
--- a/pimentocross/gateway/intake.py
+++ b/pimentocross/gateway/intake.py
@@ -216,8 +216,11 @@
         return NotOwner("no help here")
 
     def _is_owner_responding(self) -> bool:
-        absent = self._owner.owner_absent() >= _SILENCE_CHECK_INTERVAL
-        return not absent and self._owner_silence() <= OWNER_SILENCE_TIMEOUT
+        is_owner_absent = self._owner.owner_absent() >= _SILENCE_CHECK_INTERVAL
+        return (
+            not is_owner_absent
+            and self._owner_silence() <= OWNER_SILENCE_TIMEOUT
+        )
 
     async def _ask(
         self, message: _StorableRequest, timeout: float
--- a/pimentocross/gateway/node.py
+++ b/pimentocross/gateway/node.py
@@ -276,7 +276,7 @@
                     return NotOwner("the queue is not in force")
                 return job_answer(await _submit(owner, job, known, spec))
             case AskState(job):
-                await owner.ensure_known(job)
+                await owner.import_if_stored(job)
                 return job_answer(owner.job_api.state(job))
             case CancelJob(job):
                 return job_answer(await owner.cancel(job))
@@ -292,7 +292,7 @@
     reply = await owner.job_api.submit(job, queue, spec)
     if reply.outcome is Outcome.FULL:
         # A refusal is only correct if no VM has stored the job before.
-        await owner.ensure_known(job)
+        await owner.import_if_stored(job)
         if owner.job_api.knows(job):
             reply = await owner.job_api.submit(job, queue, spec)
     return reply
--- a/pimentocross/owner/crashes.py
+++ b/pimentocross/owner/crashes.py
@@ -109,8 +109,8 @@
         if not lapsed:
             return
         for worker in known:
-            same = worker.life.id == life.id
-            if same and not worker.life.is_after(life.born):
+            is_same_life = worker.life.id == life.id
+            if is_same_life and not worker.life.is_after(life.born):
                 self._add_lapsed(worker, lapsed)
                 return
         if life.machine:
@@ -149,7 +149,10 @@
                 task.not_before = until
 
     def note_responding(self, worker: Worker) -> None:
-        """Handles a worker's first answer, also the first after a silence."""
+        """Clears suspicion of a crash after a worker's first answer.
+
+        Also called for the first answer after a silence.
+        """
         self._silent_lives.forget(worker.life.id)
         if self._recorded_crashes:
             for key in worker.runs:
@@ -174,7 +177,11 @@
         self._release_waiting(lapsed)
 
     def note_absent(self, worker: Worker) -> None:
-        """Handles a life that is given up without knowing how it ended."""
+        """Keeps the runs of a life that was given up for an unknown reason.
+
+        They count as crashed once the next life of its VM is listed, unless
+        the life was draining.
+        """
         lapsed = self._lapsed.pop(worker, [])
         life = worker.life
         affected = [*lapsed, *self._affected_runs(worker)]
--- a/pimentocross/owner/endings.py
+++ b/pimentocross/owner/endings.py
@@ -40,10 +40,10 @@
     Returns:
         The run that ended, or None if it was not known any more.
     """
-    newest = ending.run >= task.last_run
+    is_newest_run = ending.run >= task.last_run
     task.note_has_run()
     run = drop_run(task, ending.run, worker)
-    if ending.checkpoint and newest and not task.done:
+    if ending.checkpoint and is_newest_run and not task.done:
         _set_checkpoint(task, ending.checkpoint)
     if ending.how is EndKind.DONE and not task.step.spec.lasting:
         _finish_task(task)
--- a/pimentocross/owner/intake.py
+++ b/pimentocross/owner/intake.py
@@ -104,9 +104,10 @@
             nursery.start_soon(self._remove)
 
     async def catch_up(self) -> bool:
-        """Returns whether all records stored before the call are imported.
+        """Imports all records that were stored before the call.
 
-        Calls that arrive during a read share the next one.
+        Returns False if the store did not show that these are all. Calls that
+        arrive during a read share the next one.
         """
         asked_at = trio.current_time()
         async with self._catching_up:
--- a/pimentocross/owner/keeper.py
+++ b/pimentocross/owner/keeper.py
@@ -223,7 +223,7 @@
             return 0.0
         if not worker.serves:
             return self._context.pace.wait(now, serving=False)
-        wait = self._context.pace.wait(now, serving=worker.filled > 0)
+        wait = self._context.pace.wait(now, serving=worker.best_effort_cpu > 0)
         # The figures of a best-effort task that starts meanwhile are first read
         # with the next listing, and serving tasks that it disturbs must not be
         # over their target for four seconds.
@@ -385,7 +385,7 @@
         sent_at: float,
         changed: dict[Job, None],
     ) -> None:
-        """Handles runs that may be on the worker and are not listed."""
+        """Resends, stops or drops runs of the worker that it did not list."""
         for key, run in list(self._worker.runs.items()):
             if key in found or run.state_at >= sent_at:
                 continue
--- a/pimentocross/owner/listing_pace.py
+++ b/pimentocross/owner/listing_pace.py
@@ -3,7 +3,7 @@
 Load pattern: with hundreds of workers and a slow VM, listings at their usual
 interval would take most of the owner's thread. So the cost of processing one is
 measured, and their rate is limited to a share of the thread. They stay frequent
-enough to renew leases and to read the figures by which filling tasks are
+enough to renew leases and to read the figures by which best-effort tasks are
 slowed.
 """
 
@@ -54,7 +54,7 @@
 
         Args:
             now: Present time.
-            serving: Whether both serving and filling tasks run there.
+            serving: Whether both serving and best-effort tasks run there.
         """
         least = const.LISTING_WAIT_SERVING if serving else const.LISTING_WAIT
         most = const.MAX_LISTING_WAIT_SERVING if serving else self._wait_most
--- a/pimentocross/owner/load_log.py
+++ b/pimentocross/owner/load_log.py
@@ -53,7 +53,7 @@
             closed=closed,
             committed=sum(w.committed.cpu for w in workers),
             serving=sum(sum(w.serving.values()) for w in workers),
-            filling=sum(w.filled for w in workers),
+            filling=sum(w.best_effort_cpu for w in workers),
             filling_used=sum(r.figure for t, r in runs if t.step.spec.fills),
             left_over=sum(left_over(w) for w in workers),
             slowed=sum(
--- a/pimentocross/owner/orders.py
+++ b/pimentocross/owner/orders.py
@@ -241,7 +241,7 @@
                                 token,
                                 self._context.patience.for_call(),
                             )
-                    if run is not None and self._on_worker(worker, run):
+                    if run is not None and self._is_on_worker(worker, run):
                         run.stopped_at = trio.current_time()
                     return
                 except WorkerUnreachableError as error:
@@ -249,13 +249,13 @@
                     note("stop_unanswered", task=name, reason=str(error))
                 except WorkerReplacedError:
                     return
-                if run is not None and not self._on_worker(worker, run):
+                if run is not None and not self._is_on_worker(worker, run):
                     return
                 await trio.sleep(const.STOP_RETRY_PAUSE)
         finally:
             self._stopping.discard((worker.number, name, number))
 
-    def _on_worker(self, worker: Worker, run: Run) -> bool:
+    def _is_on_worker(self, worker: Worker, run: Run) -> bool:
         return any(other is run for other in worker.runs.values())
 
     async def _pace(
--- a/pimentocross/owner/owner.py
+++ b/pimentocross/owner/owner.py
@@ -303,7 +303,7 @@
         """Records that a former owner certainly renews no lease any more."""
         self._roster.note_former_ended(epoch)
 
-    async def ensure_known(self, job_id: str) -> bool:
+    async def import_if_stored(self, job_id: str) -> bool:
         """Imports a job that an entry VM may just have stored.
 
         Its caller may ask for the job before the intake has imported it.
@@ -321,7 +321,7 @@
 
         Replies `STORE_AWAY` if the job may be stored but not imported yet.
         """
-        if not await self.ensure_known(job_id):
+        if not await self.import_if_stored(job_id):
             return JobReply(Outcome.STORE_AWAY)
         return await self.job_api.cancel(job_id)
 
--- a/pimentocross/owner/reclaimer.py
+++ b/pimentocross/owner/reclaimer.py
@@ -154,7 +154,7 @@
             for task in worker.settled(now, _SETTLE_TIME)
         ]
         # Each step is checked once instead of once per task.
-        may_evict_from = {
+        evictable_steps = {
             step
             for step in {task.step for task, _ in settled}
             if self.may_evict_from(step)
@@ -162,7 +162,7 @@
         candidates = [
             move_candidate(task, worker)
             for task, worker in settled
-            if task.step in may_evict_from
+            if task.step in evictable_steps
         ]
         max_cpu = share - self._away_cpu()
         wanted = waiting[: task_limit(len(workers))]
--- a/pimentocross/owner/roster.py
+++ b/pimentocross/owner/roster.py
@@ -173,7 +173,7 @@
                 yield LeaseRow(worker.number, round(left, 3), worker.barred)
 
     def note_former_ended(self, epoch: int) -> None:
-        """Handles that a former owner surely renews no lease any more."""
+        """Shortens former leases, as a former owner renews none any more."""
         former_leases = self._former_leases
         former_leases.note_ended(epoch)
         for worker in [*self._absent, *self._by_life.values()]:
@@ -269,7 +269,7 @@
         self._has_adopted = True
 
     def note_born(self, worker: Worker, born: int) -> None:
-        """Handles the birth time in a worker's reply.
+        """Records the birth time in a worker's reply.
 
         It may be that of the next life of this id, which the directory lists
         later. That life then replaces the former one.
--- a/pimentocross/owner/run_control.py
+++ b/pimentocross/owner/run_control.py
@@ -152,7 +152,7 @@
         self, worker: Worker, orders: Orders, now: float
     ) -> None:
         is_settled = now - worker.paced_at >= SETTLING_SECONDS
-        if worker.filled and (
+        if worker.best_effort_cpu and (
             is_settled or worker.seconds_over_target(now) >= STOP_AFTER_SECONDS
         ):
             self._pace_best_effort_on(worker, orders, now)
--- a/pimentocross/owner/worker.py
+++ b/pimentocross/owner/worker.py
@@ -265,8 +265,8 @@
         return bool(self._serving)
 
     @property
-    def filled(self) -> int:
-        """Processor time that filling tasks request, thousandths of a core."""
+    def best_effort_cpu(self) -> int:
+        """CPU requested by best-effort tasks, in thousandths of a core."""
         return self._filling_cpu
 
     @property
@@ -279,7 +279,7 @@
 
     @property
     def filling(self) -> Mapping[str, int]:
-        """Processor time that filling tasks request, as in `serving`."""
+        """CPU requested by best-effort tasks, by image as in `serving`."""
         return self._filling
 
     def short_run_counts(self) -> Mapping[Step, int]:
--- a/pimentocross/placement/host.py
+++ b/pimentocross/placement/host.py
@@ -46,7 +46,7 @@
         ...
 
     @property
-    def filled(self) -> int:
+    def best_effort_cpu(self) -> int:
         """Processor time requested by all best-effort tasks.
 
         In thousandths of a core.
@@ -90,7 +90,7 @@
 
     In thousandths of a core.
     """
-    return best_effort_cpu_limit(host) - host.filled
+    return best_effort_cpu_limit(host) - host.best_effort_cpu
 
 
 def best_effort_cpu_limit(host: Host) -> int:
--- a/pimentocross/placement/quarantine.py
+++ b/pimentocross/placement/quarantine.py
@@ -62,7 +62,7 @@
 
     @property
     def mostly_succeeds(self) -> bool:
-        """Whether most tasks of the job succeed."""
+        """Whether tasks finished at least as often as workers failed one."""
         return self.finished >= max(len(self.failed_on), _WORKERS_TO_BLAME_JOB)
 
     def note_failed(self, task: str, worker: str) -> None:
--- a/pimentocross/placement/reclaim.py
+++ b/pimentocross/placement/reclaim.py
@@ -95,7 +95,10 @@
             ).minus(size)
 
     def _take_freed(self, step: Step) -> bool:
-        """Reserves room of a chosen eviction; True if there is enough."""
+        """Reserves capacity that one chosen eviction frees for a step's task.
+
+        Returns False if none of them frees enough.
+        """
         size = step.spec.committed
         for candidate in self.chosen:
             left = self._free[candidate.host.number]
--- a/pimentocross/placement/tails.py
+++ b/pimentocross/placement/tails.py
@@ -56,9 +56,9 @@
             self._bins = [count / self._weight for count in self._bins]
             self._weight = 1.0
         self._count += 1
-        enough = self._count >= self._min_count
+        has_enough_ratios = self._count >= self._min_count
         self.is_detected = (
-            enough and self.share_over(TAIL_FROM) >= _MIN_TAIL_SHARE
+            has_enough_ratios and self.share_over(TAIL_FROM) >= _MIN_TAIL_SHARE
         )
 
     def share_over(self, ratio: float, lower_limit: float = 0.0) -> float:
--- a/pimentocross/zones/views.py
+++ b/pimentocross/zones/views.py
@@ -57,9 +57,14 @@
         return found
     for task in tasks:
         worker = workers.get(task.worker)
-        runs = task.phase is TaskPhase.RUNNING
+        is_running = task.phase is TaskPhase.RUNNING
         service = config.services.get(task.class_name)
-        if worker is None or service is None or not runs or worker.leaving:
+        if (
+            worker is None
+            or service is None
+            or not is_running
+            or worker.leaving
+        ):
             continue
         found.append(
             Target(
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -503,7 +503,7 @@
         calls = store.calls
         async with trio.open_nursery() as nursery:
             for number in range(100):
-                nursery.start_soon(owner.ensure_known, f"job{number}")
+                nursery.start_soon(owner.import_if_stored, f"job{number}")
         assert store.calls - calls <= 5, f"{store.calls - calls} calls"
 
 
@@ -513,7 +513,7 @@
     switches = Switches(frozenset({Part.INTAKE}))
     owner = make_owner(store, hall, 1, switches=switches)
     async with running(owner):
-        await owner.ensure_known("job1")
+        await owner.import_if_stored("job1")
         await trio.sleep(3.0)
         assert not owner.job_api.knows("job1"), "not read"
         outcome = owner.job_api.state("job1").outcome
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -64,7 +64,7 @@
     def __init__(self, number: int, images: Sequence[str]) -> None:
         self.number = number
         self.filling: Mapping[str, int] = {}
-        self.filled = 0
+        self.best_effort_cpu = 0
         self.misses_target = False
         self.is_isolating = False
         self.tasks = [
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -113,7 +113,7 @@
         store.faults.away = False
         await wait_until(lambda: _ended(owner, "j1"))
         # Entry VMs call this first: one of them may have stored the job.
-        assert await owner.ensure_known("j2")
+        assert await owner.import_if_stored("j2")
         assert owner.job_api.state("j2").outcome is Outcome.NO_SUCH_JOB
     assert count(hall.journal, "lapsed") == 0
     assert count(hall.journal, "start") == 4
--- a/tests/test_placement_under_load.py
+++ b/tests/test_placement_under_load.py
@@ -57,7 +57,7 @@
         return life(self.number)
 
     @property
-    def filled(self) -> int:
+    def best_effort_cpu(self) -> int:
         return self.filling.total()
 
     def count_of(self, step: Step) -> int:
--- a/tests/test_reclaim.py
+++ b/tests/test_reclaim.py
@@ -46,7 +46,7 @@
         self.life = life(number)
         self.serving: dict[str, int] = {}
         self.filling: dict[str, int] = {}
-        self.filled = 0
+        self.best_effort_cpu = 0
         self.misses_target = False
         self.is_isolating = False
 
