--- a/pimentocross/gateway/intake.py
+++ b/pimentocross/gateway/intake.py
@@ -48,7 +48,7 @@
 class CurrentConfig(Protocol):
     """Access to the configuration on this VM; see `ConfigFollower`."""
 
-    async def ensure_current(self) -> bool:
+    async def check_current(self) -> bool:
         """Returns whether the copy has every change that must be in force."""
         ...
 
@@ -216,8 +216,11 @@
         return NotOwner("no help here")
 
     def _is_owner_responding(self) -> bool:
-        absent = self._owner.owner_absent() >= _SILENCE_CHECK_INTERVAL
-        return not absent and self._owner_silence() <= OWNER_SILENCE_TIMEOUT
+        is_owner_absent = self._owner.owner_absent() >= _SILENCE_CHECK_INTERVAL
+        return (
+            not is_owner_absent
+            and self._owner_silence() <= OWNER_SILENCE_TIMEOUT
+        )
 
     async def _ask(
         self, message: _StorableRequest, timeout: float
@@ -269,7 +272,7 @@
         return reply
 
     async def _may_store(self, message: _StorableRequest) -> bool:
-        if not await self._configs.ensure_current():
+        if not await self._configs.check_current():
             return False
         if isinstance(message, CancelJob):
             return True
--- a/pimentocross/placement/quarantine.py
+++ b/pimentocross/placement/quarantine.py
@@ -62,7 +62,7 @@
 
     @property
     def mostly_succeeds(self) -> bool:
-        """Whether most tasks of the job succeed."""
+        """Whether tasks finished at least as often as workers failed one."""
         return self.finished >= max(len(self.failed_on), _WORKERS_TO_BLAME_JOB)
 
     def note_failed(self, task: str, worker: str) -> None:
@@ -171,7 +171,10 @@
             record.has_trial = True
 
     def note_lost(self, worker: str) -> None:
-        """Records that a trial task ended without success or failure."""
+        """Clears the trial mark of a worker, so that another trial may start.
+
+        Called when a task on the worker ended without success or failure.
+        """
         record = self._records.get(worker)
         if record is not None:
             record.has_trial = False
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -113,7 +113,7 @@
         store.faults.away = False
         await wait_until(lambda: _ended(owner, "j1"))
         # Entry VMs call this first: one of them may have stored the job.
-        assert await owner.ensure_known("j2")
+        assert await owner.import_if_stored("j2")
         assert owner.job_api.state("j2").outcome is Outcome.NO_SUCH_JOB
     assert count(hall.journal, "lapsed") == 0
     assert count(hall.journal, "start") == 4
@@ -214,7 +214,7 @@
         cut_at = trio.current_time()
         on_it = sum(e.worker == victim for e in hall.journal)
         await wait_until(lambda: count(hall.journal, "start") == 4 + on_it)
-        assert trio.current_time() - cut_at > const.LEASE - const.HOLD_WAIT
+        assert trio.current_time() - cut_at > const.LEASE - const.LISTING_WAIT
         # The stand-in logs lapsed runs only when it is asked for a listing.
         hall.workers[victim].listing()
     events = sorted(hall.journal, key=lambda e: (e.at, e.what == "start"))
