--- a/bench/owner.py
+++ b/bench/owner.py
@@ -24,7 +24,7 @@
     TaskPlan,
     TaskWorkerStandin,
 )
-from pimentocross.standins.users_platform import StoreSurface, WorkerSurface
+from pimentocross.standins.users_platform import StoreHandler, WorkerHandler
 from pimentocross.work.spec import JobSpec, Size, StepSpec
 from pimentocross.work.state import JobState
 
@@ -87,7 +87,7 @@
 
 async def _measure_runs(nursery: trio.Nursery) -> tuple[float, float]:
     store = StoreStandin()
-    address = await _serve(nursery, StoreSurface(store).handle)
+    address = await _serve(nursery, StoreHandler(store).handle)
     journal: list[RunEvent] = []
     lives = []
     for number in range(_WORKERS):
@@ -105,7 +105,7 @@
         worker = TaskWorkerStandin(
             life, lambda _: TaskPlan(_SECONDS, _SIZE), journal
         )
-        where = await _serve(nursery, WorkerSurface(worker).handle)
+        where = await _serve(nursery, WorkerHandler(worker).handle)
         lives.append(life._replace(address=where))
     platform = CellPlatform(
         StoreClient(address), _Directory(lives), HttpWorkerDialer()
--- a/bench/rehearsal.py
+++ b/bench/rehearsal.py
@@ -18,10 +18,10 @@
 from pimentocross.config.load import read_folder
 from pimentocross.standins.caller import CallerStandin, CallKind
 from pimentocross.standins.checks import (
-    find_false_not_run,
-    find_over_commit,
-    find_served_twice,
-    find_two_places,
+    find_concurrent_runs,
+    find_duplicate_requests,
+    find_overcommitted_workers,
+    find_wrongly_refused,
     finished_tasks,
     read_runs,
 )
@@ -251,10 +251,12 @@
     journal = cluster.journal()
     died = _processes_of(journal, killed)
     runs = read_runs(journal, died)
-    broken = find_two_places(runs)
-    broken += find_over_commit(journal, cluster.config.workers.resources)
-    broken += find_served_twice(journal)
-    broken += find_false_not_run(journal, traffic.refused)
+    broken = find_concurrent_runs(runs)
+    broken += find_overcommitted_workers(
+        journal, cluster.config.workers.resources
+    )
+    broken += find_duplicate_requests(journal)
+    broken += find_wrongly_refused(journal, traffic.refused)
     broken += [f"job {job} is {state!r}" for job, state in left.items()]
     if traffic.caller.outcomes[(CallKind.MIXED_UP.value, "")]:
         broken.append("an answer went to another caller")
--- a/bench/wire_workers.py
+++ b/bench/wire_workers.py
@@ -17,11 +17,11 @@
 from pimentocross.links.listener import HttpListener, ListenerLimits
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import (
-    LASTS,
+    RUNS_FOREVER,
     TaskPlan,
     TaskWorkerStandin,
 )
-from pimentocross.standins.users_platform import StoreSurface, WorkerSurface
+from pimentocross.standins.users_platform import StoreHandler, WorkerHandler
 from pimentocross.work.spec import Size, TaskName
 
 HOST: Final = "127.0.0.1"
@@ -53,7 +53,7 @@
 def plan_of(name: TaskName) -> TaskPlan:
     """Returns the plan of a task; its job's name says of what kind it is."""
     if name.job.startswith("last"):
-        return TaskPlan(LASTS, Size(1, 1, 0))
+        return TaskPlan(RUNS_FOREVER, Size(1, 1, 0))
     seconds = random.Random(str(name)).uniform(0.5, 1.5)
     return TaskPlan(seconds, Size(1, 1, 0))
 
@@ -66,7 +66,7 @@
         return random.randint(10, 30)
 
 
-class _Surface(WorkerSurface):
+class _Surface(WorkerHandler):
     """Answers `hold` when something has ended, without looking often."""
 
     def __init__(self, worker: _Worker) -> None:
@@ -97,7 +97,7 @@
         return await surfaces[life].handle(request)
 
     async with trio.open_nursery() as nursery:
-        for handler in (handle, StoreSurface(StoreStandin()).handle):
+        for handler in (handle, StoreHandler(StoreStandin()).handle):
             listener = HttpListener(handler, ListenerLimits)
             port = await nursery.start(listener.serve, f"{HOST}:0")
             told.send(f"{HOST}:{port}")
--- a/pimentocross/standins/caller.py
+++ b/pimentocross/standins/caller.py
@@ -13,7 +13,7 @@
 _OK = 200
 _CREATED = 201
 _SERVER_ERROR = 500
-_GRACE = 3.0
+_TIMEOUT_MARGIN = 3.0
 
 
 class CallKind(StrEnum):
@@ -61,16 +61,18 @@
         timeout: float,
     ) -> CallOutcome:
         """Calls a service through an entry VM at host:port."""
-        began = trio.current_time()
+        started_at = trio.current_time()
         headers = [
             (IDEMPOTENCY_KEY, key.encode()),
             (REQUEST_TIMEOUT, str(timeout).encode()),
         ]
         body = f"body of {key}".encode() if method == "POST" else b""
         url = f"http://{entry}/services/{service}{path}"
-        reply = await self._send(method, url, headers, body, timeout + _GRACE)
+        reply = await self._send(
+            method, url, headers, body, timeout + _TIMEOUT_MARGIN
+        )
         kind, reason = _classify(reply, service, path, key, body)
-        outcome = CallOutcome(kind, reason, trio.current_time() - began)
+        outcome = CallOutcome(kind, reason, trio.current_time() - started_at)
         self.outcomes[(kind.value, reason)] += 1
         if kind is CallKind.ANSWERED:
             self.latencies.append(outcome.seconds)
@@ -145,13 +147,13 @@
         return CallKind.NO_ANSWER, ""
     if reply.status == _OK:
         echo = _decode(reply.content)
-        mine = (
+        matches = (
             echo.get("service") == service
             and echo.get("path") == path
             and echo.get("key") == key
             and echo.get("body") == body.decode()
         )
-        return (CallKind.ANSWERED if mine else CallKind.MIXED_UP), ""
+        return (CallKind.ANSWERED if matches else CallKind.MIXED_UP), ""
     state = _decode(reply.content).get("state")
     if state in (CallKind.NOT_RUN, CallKind.UNKNOWN):
         return CallKind(state), _reason(reply)
--- a/pimentocross/standins/checks.py
+++ b/pimentocross/standins/checks.py
@@ -7,8 +7,8 @@
 from pimentocross.backing.workers import Resources, TaskKind, TaskState
 from pimentocross.standins.journal import JournalEntry, JournalEvent
 
-_EXCLUSIVE = (TaskKind.BATCH.value, TaskKind.WATCH.value)
-_IDEMPOTENT = ("GET", "HEAD", "OPTIONS")
+_EXCLUSIVE_KINDS = (TaskKind.BATCH.value, TaskKind.WATCH.value)
+_IDEMPOTENT_METHODS = ("GET", "HEAD", "OPTIONS")
 
 
 class Run(NamedTuple):
@@ -35,10 +35,10 @@
     """
     runs: dict[tuple[str, str, str], Run] = {}
     for entry in sorted(entries):
-        where = (entry.process, entry.subject, entry.attempt)
+        run_key = (entry.process, entry.subject, entry.attempt)
         if entry.event is JournalEvent.STARTED:
             ended = killed_at.get(entry.process, float("inf"))
-            runs[where] = Run(
+            runs[run_key] = Run(
                 entry.subject,
                 entry.kind,
                 entry.machine,
@@ -48,59 +48,63 @@
                 ended,
                 "running",
             )
-        elif entry.event is JournalEvent.ENDED and where in runs:
-            ended = min(entry.at, runs[where].ended)
-            runs[where] = runs[where]._replace(ended=ended, state=entry.detail)
+        elif entry.event is JournalEvent.ENDED and run_key in runs:
+            ended = min(entry.at, runs[run_key].ended)
+            runs[run_key] = runs[run_key]._replace(
+                ended=ended, state=entry.detail
+            )
     return list(runs.values())
 
 
-def find_two_places(runs: Iterable[Run]) -> list[str]:
+def find_concurrent_runs(runs: Iterable[Run]) -> list[str]:
     """Returns batch tasks and watches that ran in two places at once."""
     by_task: dict[str, list[Run]] = defaultdict(list)
     for run in runs:
-        if run.kind in _EXCLUSIVE:
+        if run.kind in _EXCLUSIVE_KINDS:
             by_task[run.task].append(run)
-    broken = []
+    violations = []
     for task, tries in by_task.items():
         tries.sort(key=lambda run: run.started)
         latest = tries[0]
         for run in tries[1:]:
             if run.started < latest.ended:
-                broken.append(
+                violations.append(
                     f"{task} ran on {run.machine} from {run.started:.3f} while"
                     f" {latest.machine} ran it until {latest.ended:.3f}"
                 )
             if run.ended > latest.ended:
                 latest = run
-    return broken
+    return violations
 
 
-def find_over_commit(
+def find_overcommitted_workers(
     entries: Iterable[JournalEntry], capacity: Resources
 ) -> list[str]:
     """Returns moments at which a worker ran more than it can carry."""
-    broken = []
+    violations = []
     for entry in entries:
         if entry.event is JournalEvent.SERVED:
             continue
         processors, memory = entry.load
         if processors > capacity.processors or memory > capacity.memory:
-            broken.append(f"{entry.machine} carried {entry.load} at {entry.at}")
-    return broken
+            violations.append(
+                f"{entry.machine} carried {entry.load} at {entry.at}"
+            )
+    return violations
 
 
-def find_served_twice(entries: Iterable[JournalEntry]) -> list[str]:
+def find_duplicate_requests(entries: Iterable[JournalEntry]) -> list[str]:
     """Returns non-idempotent requests that ran more than once."""
     served = Counter(
         entry.subject
         for entry in entries
         if entry.event is JournalEvent.SERVED
-        and entry.attempt not in _IDEMPOTENT
+        and entry.attempt not in _IDEMPOTENT_METHODS
     )
     return [f"{key} ran {n} times" for key, n in served.items() if n > 1]
 
 
-def find_false_not_run(
+def find_wrongly_refused(
     entries: Iterable[JournalEntry], refused: Iterable[str]
 ) -> list[str]:
     """Returns requests that were refused as "not run" and yet ran."""
--- a/pimentocross/standins/dev.py
+++ b/pimentocross/standins/dev.py
@@ -20,10 +20,10 @@
 from pimentocross.observe.histograms import Histograms, Summary
 from pimentocross.standins.caller import CallerStandin, CallKind
 from pimentocross.standins.checks import (
-    find_false_not_run,
-    find_over_commit,
-    find_served_twice,
-    find_two_places,
+    find_concurrent_runs,
+    find_duplicate_requests,
+    find_overcommitted_workers,
+    find_wrongly_refused,
     finished_tasks,
     read_runs,
 )
@@ -38,12 +38,12 @@
 _CALL_INTERVAL = 0.02
 _JOB_INTERVAL = 0.25
 _JOB_SECONDS = 1.0
-_POST_SHARE = 0.1
-_SETTLE = 20.0
+_POST_PROBABILITY = 0.1
+_SETTLE_TIMEOUT = 20.0
 _FIRST_PORT = 15_000
 _LAST_PORT = 30_000
-_ports = random.SystemRandom()
-_ports_given: set[int] = set()
+_port_rng = random.SystemRandom()
+_issued_ports: set[int] = set()
 
 
 class WorkLine(NamedTuple):
@@ -93,15 +93,15 @@
     which could take it before it is used.
     """
     while True:
-        port = _ports.randrange(_FIRST_PORT, _LAST_PORT)
-        if port in _ports_given:
+        port = _port_rng.randrange(_FIRST_PORT, _LAST_PORT)
+        if port in _issued_ports:
             continue
         with socket.socket() as probe:
             try:
                 probe.bind((_HOST, port))
             except OSError:
                 continue
-        _ports_given.add(port)
+        _issued_ports.add(port)
         return port
 
 
@@ -143,10 +143,10 @@
             entries: list[EntryNode] = []
             ports: list[Ports] = []
             for zone in config.zones:
-                settings = _settings(config, zone)
+                settings = _entry_settings(config, zone)
                 platform = Platform(log, vms, dialer)
                 node = EntryNode(settings, platform)
-                _list_entry(vms, node)
+                _register_entry(vms, node)
                 opened = await stack.enter_async_context(
                     open_entry(node, settings)
                 )
@@ -197,7 +197,7 @@
     )
 
 
-def _settings(config: Configuration, zone: str) -> EntrySettings:
+def _entry_settings(config: Configuration, zone: str) -> EntrySettings:
     return EntrySettings(
         f"entry-{zone}",
         zone,
@@ -211,7 +211,7 @@
     )
 
 
-def _list_entry(vms: VmListStandin, node: EntryNode) -> None:
+def _register_entry(vms: VmListStandin, node: EntryNode) -> None:
     local_identity = node.peers.local_identity
     vms.put(
         Vm(
@@ -235,7 +235,7 @@
 
 async def wait_services(cluster: DevCluster) -> None:
     """Waits until every entry VM knows a target of every service."""
-    with trio.move_on_after(_SETTLE):
+    with trio.move_on_after(_SETTLE_TIMEOUT):
         while not all(
             entry.target_registry.is_known(service)
             for entry in cluster.entries
@@ -251,32 +251,30 @@
     jobs: dict[str, str],
     refused: list[str],
 ) -> None:
-    draw = random.Random(1)
+    rng = random.Random(1)
     number = 0
     next_job = trio.current_time()
     while True:
         number += 1
-        nursery.start_soon(_call_once, cluster, caller, draw, number, refused)
+        nursery.start_soon(_call_once, cluster, caller, rng, number, refused)
         if cluster.config.batch and trio.current_time() >= next_job:
             next_job += _JOB_INTERVAL
-            nursery.start_soon(
-                _submit_once, cluster, caller, draw, number, jobs
-            )
+            nursery.start_soon(_submit_once, cluster, caller, rng, number, jobs)
         await trio.sleep(_CALL_INTERVAL)
 
 
 async def _call_once(
     cluster: DevCluster,
     caller: CallerStandin,
-    draw: random.Random,
+    rng: random.Random,
     number: int,
     refused: list[str],
 ) -> None:
-    service = draw.choice(sorted(cluster.config.services))
-    method = "POST" if draw.random() < _POST_SHARE else "GET"
+    service = rng.choice(sorted(cluster.config.services))
+    method = "POST" if rng.random() < _POST_PROBABILITY else "GET"
     key = f"call-{number}"
     outcome = await caller.call(
-        _entry_address(cluster, draw), service, method, f"/x/{number}", key, 5.0
+        _entry_address(cluster, rng), service, method, f"/x/{number}", key, 5.0
     )
     if outcome.kind is CallKind.NOT_RUN:
         refused.append(key)
@@ -285,27 +283,27 @@
 async def _submit_once(
     cluster: DevCluster,
     caller: CallerStandin,
-    draw: random.Random,
+    rng: random.Random,
     number: int,
     jobs: dict[str, str],
 ) -> None:
-    class_name = draw.choice(sorted(cluster.config.batch))
+    class_name = rng.choice(sorted(cluster.config.batch))
     job = await caller.submit(
-        _entry_address(cluster, draw), class_name, _JOB_SECONDS, f"job-{number}"
+        _entry_address(cluster, rng), class_name, _JOB_SECONDS, f"job-{number}"
     )
     if job is not None:
         jobs[job] = class_name
 
 
-def _entry_address(cluster: DevCluster, draw: random.Random) -> str:
-    return f"{_HOST}:{draw.choice(cluster.ports).caller}"
+def _entry_address(cluster: DevCluster, rng: random.Random) -> str:
+    return f"{_HOST}:{rng.choice(cluster.ports).caller}"
 
 
 async def _wait_jobs(
     cluster: DevCluster, caller: CallerStandin, jobs: dict[str, str]
 ) -> None:
     entry = f"{_HOST}:{cluster.ports[0].caller}"
-    with trio.move_on_after(_SETTLE):
+    with trio.move_on_after(_SETTLE_TIMEOUT):
         for job in jobs:
             while await caller.job_state(entry, job) != "finished":
                 await trio.sleep(0.2)
@@ -343,9 +341,11 @@
                 name, TaskKind.WATCH.value, watch.instances, 0, 0, running[name]
             )
         )
-    broken = find_two_places(runs) + find_served_twice(entries)
-    broken += find_over_commit(entries, cluster.config.workers.resources)
-    broken += find_false_not_run(entries, refused)
+    broken = find_concurrent_runs(runs) + find_duplicate_requests(entries)
+    broken += find_overcommitted_workers(
+        entries, cluster.config.workers.resources
+    )
+    broken += find_wrongly_refused(entries, refused)
     broken += _find_unfinished(work)
     if caller.outcomes[(CallKind.MIXED_UP.value, "")]:
         broken.append("an answer went to another caller")
--- a/pimentocross/standins/log.py
+++ b/pimentocross/standins/log.py
@@ -26,8 +26,8 @@
 )
 from pimentocross.standins.faults import FaultError, FaultPlan, Faults
 
-_PAGE_MOST = 500
-_BODY_MOST = 8 * 1024 * 1024
+_MAX_PAGE_RECORDS = 500
+_MAX_BODY_BYTES = 8 * 1024 * 1024
 
 
 class _Stream:
@@ -59,7 +59,7 @@
     def page(self, start: int) -> ReadPage:
         """Returns the records from an offset on."""
         skip = max(start - self.first_kept, 0)
-        stop = min(skip + _PAGE_MOST, len(self.kept))
+        stop = min(skip + _MAX_PAGE_RECORDS, len(self.kept))
         records = [self.kept[i][1] for i in range(skip, stop)]
         return ReadPage(self.first_kept, self.end, records)
 
@@ -136,7 +136,7 @@
 
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         request = await read_request(
-            scope, receive, body_most=_BODY_MOST, timeout=30.0
+            scope, receive, body_most=_MAX_BODY_BYTES, timeout=30.0
         )
         try:
             reply = await answer(request)
--- a/pimentocross/standins/service.py
+++ b/pimentocross/standins/service.py
@@ -27,7 +27,7 @@
     JournalEvent,
 )
 
-_BODY_MOST = 16 * 1024 * 1024
+_MAX_BODY_BYTES = 16 * 1024 * 1024
 
 
 class ServiceStandin:
@@ -64,7 +64,7 @@
         """Answers one request: the ASGI entry point."""
         try:
             request = await read_request(
-                scope, receive, body_most=_BODY_MOST, timeout=30.0
+                scope, receive, body_most=_MAX_BODY_BYTES, timeout=30.0
             )
         except CallerGoneError:
             return
@@ -77,7 +77,7 @@
         try:
             await self.faults.before()
             async with self._slots:
-                self._note(service, key, request.method)
+                self._record_request(service, key, request.method)
                 await trio.sleep(self._draw_service_time())
             self.faults.after()
         except FaultError:
@@ -99,7 +99,7 @@
             return 0.0
         return self._random.expovariate(1 / self._service_time)
 
-    def _note(self, service: str, key: str, method: str) -> None:
+    def _record_request(self, service: str, key: str, method: str) -> None:
         self.served += 1
         self._journal.note(
             JournalEntry(
@@ -122,7 +122,7 @@
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         if scope["path"] == "/-/faults":
             request = await read_request(
-                scope, receive, body_most=_BODY_MOST, timeout=10.0
+                scope, receive, body_most=_MAX_BODY_BYTES, timeout=10.0
             )
             plan = msgspec.json.decode(request.body)
             service.faults.plan = service.faults.plan._replace(**plan)
--- a/pimentocross/standins/store.py
+++ b/pimentocross/standins/store.py
@@ -18,10 +18,10 @@
 )
 
 # As many newest appends of a producer as are answered again.
-_REPEATS_KEPT = 5
-_FOREVER = 1e9
+_MAX_KEPT_ANSWERS = 5
+_MAX_SLEEP = 1e9
 # Connections that a client keeps beside those in use.
-_IDLE_KEPT = 3
+_IDLE_CONNECTIONS = 3
 
 
 class StoreFaults:
@@ -47,12 +47,12 @@
         self.delay = 0.004
         self.lost = 0.0
         self.late = 0.0
-        self.silenced = 0
-        self.deaf = False
+        self.silence_count = 0
+        self.drop_read_notifications = False
         self.random = random.Random(seed)
 
 
-class _Answered(NamedTuple):
+class _AppendAnswer(NamedTuple):
     sequence: int
     offset: int
 
@@ -63,7 +63,7 @@
     def __init__(self) -> None:
         self.epoch = -1
         self.next_sequence: int | None = None
-        self.answered: list[_Answered] = []
+        self.answered: list[_AppendAnswer] = []
 
 
 class _Topic:
@@ -129,7 +129,7 @@
             raise ConditionFailedError(len(topic.records))
         first = topic.append(records)
         if mark is not None and records:
-            _note_append(topic.producers[mark.producer], mark, first)
+            _record_append(topic.producers[mark.producer], mark, first)
         return first
 
 
@@ -151,10 +151,12 @@
     return None
 
 
-def _note_append(producer: _Producer, mark: ProducerMark, offset: int) -> None:
+def _record_append(
+    producer: _Producer, mark: ProducerMark, offset: int
+) -> None:
     producer.next_sequence = mark.sequence + 1
-    producer.answered.append(_Answered(mark.sequence, offset))
-    del producer.answered[:-_REPEATS_KEPT]
+    producer.answered.append(_AppendAnswer(mark.sequence, offset))
+    del producer.answered[:-_MAX_KEPT_ANSWERS]
 
 
 class StoreClientStandin:
@@ -164,9 +166,9 @@
         """Takes the store and the VM's name."""
         self._store = store
         self._name = name
-        self._silenced = store.faults.silenced
+        self._seen_silence_count = store.faults.silence_count
         # Kept connections that have gone silent.
-        self._silent = 0
+        self._silent_connections = 0
 
     async def append(
         self,
@@ -179,7 +181,7 @@
         new_connection: bool = False,
     ) -> int:
         """Appends records."""
-        await self._reach(timeout, new_connection)
+        await self._connect(timeout, new_connection)
         faults = self._store.faults
         if faults.random.random() < faults.late:
             trio.lowlevel.spawn_system_task(
@@ -202,27 +204,27 @@
     ) -> Page:
         """Reads records."""
         asked_at = trio.current_time()
-        silenced = self._store.faults.silenced
-        await self._reach(timeout, new_connection)
+        silence_count = self._store.faults.silence_count
+        await self._connect(timeout, new_connection)
         found = self._store.topic(topic)
         if start < found.first:
             raise HistoryExpiredError
         if start >= len(found.records) and wait > 0:
             with trio.move_on_after(wait):
                 await found.changed.wait()
-                if self._store.faults.deaf:
+                if self._store.faults.drop_read_notifications:
                     await trio.sleep_forever()
             left = timeout - (trio.current_time() - asked_at)
-            if self._store.faults.silenced != silenced:
+            if self._store.faults.silence_count != silence_count:
                 await self._hang(left)
-            await self._reach(left, new_connection=True)
+            await self._connect(left, new_connection=True)
         return Page(found.records[start:], len(found.records))
 
     async def newest(
         self, topic: str, timeout: float, *, new_connection: bool = False
     ) -> Page:
         """Returns the newest record of each key."""
-        await self._reach(timeout, new_connection)
+        await self._connect(timeout, new_connection)
         found = self._store.topic(topic)
         newest = {record.key: record for record in found.records}
         kept = [r for r in newest.values() if r.value is not None]
@@ -242,10 +244,10 @@
             # Its condition holds no more.
             return
 
-    async def _reach(self, timeout: float, new_connection: bool) -> None:
+    async def _connect(self, timeout: float, new_connection: bool) -> None:
         faults = self._store.faults
         self._store.calls += 1
-        await self._pass_silent(timeout, new_connection)
+        await self._hang_if_silent(timeout, new_connection)
         if self._name in faults.refused:
             await trio.sleep(faults.delay)
             raise StoreUnavailableError("status 503", sent=False)
@@ -255,17 +257,22 @@
             await self._hang(timeout)
         await trio.sleep(faults.delay)
 
-    async def _pass_silent(self, timeout: float, new_connection: bool) -> None:
+    async def _hang_if_silent(
+        self, timeout: float, new_connection: bool
+    ) -> None:
         """Hangs if the call goes out on a kept connection that is silent."""
-        silenced = self._store.faults.silenced
-        if silenced != self._silenced:
-            self._silenced, self._silent = silenced, _IDLE_KEPT
+        silence_count = self._store.faults.silence_count
+        if silence_count != self._seen_silence_count:
+            self._seen_silence_count, self._silent_connections = (
+                silence_count,
+                _IDLE_CONNECTIONS,
+            )
         if new_connection:
-            self._silent = 0
-        if self._silent:
-            self._silent -= 1
+            self._silent_connections = 0
+        if self._silent_connections:
+            self._silent_connections -= 1
             await self._hang(timeout)
 
     async def _hang(self, timeout: float) -> None:
-        await trio.sleep(min(max(timeout, 0.0), _FOREVER))
+        await trio.sleep(min(max(timeout, 0.0), _MAX_SLEEP))
         raise StoreUnavailableError("no answer in time", sent=True)
--- a/pimentocross/standins/supervisor.py
+++ b/pimentocross/standins/supervisor.py
@@ -7,23 +7,23 @@
 import trio
 
 from pimentocross.standins.task_worker import TaskPlan, TaskWorkerStandin
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.spec import TaskName
 
 # A worker's entry is removed this long after its last report, in seconds.
-_LISTED_FOR: Final = 4.5
+_ENTRY_EXPIRY: Final = 4.5
 # How often crashes are looked for, seconds.
-_LOOK: Final = 0.02
+_POLL_INTERVAL: Final = 0.02
 
 
 class DownTime(NamedTuple):
     """Bounds of the seconds for which a crashed worker is down."""
 
-    least: float = 1.0
-    most: float = 3.0
+    min_seconds: float = 1.0
+    max_seconds: float = 3.0
 
 
-USUAL_DOWN_TIME: Final = DownTime()
+DEFAULT_DOWN_TIME: Final = DownTime()
 
 
 class Supervisor:
@@ -35,9 +35,9 @@
 
     def __init__(
         self,
-        hall: WorkerHall,
+        pool: WorkerPool,
         plan: Callable[[TaskName], TaskPlan],
-        down: DownTime = USUAL_DOWN_TIME,
+        down: DownTime = DEFAULT_DOWN_TIME,
         seed: int = 0,
         *,
         keeps_ids: bool = False,
@@ -45,7 +45,7 @@
         """Takes the workers and how their tasks behave."""
         self._keeps_ids = keeps_ids
         self.crashes = 0
-        self._hall = hall
+        self._pool = pool
         self._restarting: set[TaskWorkerStandin] = set()
         self._plan = plan
         self._down = down
@@ -55,12 +55,12 @@
         """Looks for crashed workers, for ever."""
         async with trio.open_nursery() as nursery:
             while True:
-                for worker in list(self._hall.workers.values()):
+                for worker in list(self._pool.workers.values()):
                     worker.advance()
                     if worker.down and worker not in self._restarting:
                         self._restarting.add(worker)
                         nursery.start_soon(self._restart, worker)
-                await trio.sleep(_LOOK)
+                await trio.sleep(_POLL_INTERVAL)
 
     async def _restart(self, old: TaskWorkerStandin) -> None:
         self.crashes += 1
@@ -73,7 +73,7 @@
         if self._keeps_ids:
             old.restart()
             return
-        if self._hall.workers.pop(old.life.id, None) is None:
+        if self._pool.workers.pop(old.life.id, None) is None:
             # Its machine has another life already.
             return
         life = old.life._replace(
@@ -81,11 +81,11 @@
             born=old.life.born + 1,
         )
         new = TaskWorkerStandin(
-            life, self._plan, self._hall.journal, seed=self.crashes
+            life, self._plan, self._pool.journal, seed=self.crashes
         )
-        self._hall.add(new)
+        self._pool.add(new)
         old.down = False
-        self._hall.left_over[old.life.id] = old.life
-        left = crashed_at + _LISTED_FOR - trio.current_time()
+        self._pool.lingering_entries[old.life.id] = old.life
+        left = crashed_at + _ENTRY_EXPIRY - trio.current_time()
         await trio.sleep(max(left, 0.0))
-        del self._hall.left_over[old.life.id]
+        del self._pool.lingering_entries[old.life.id]
--- a/pimentocross/standins/task_worker.py
+++ b/pimentocross/standins/task_worker.py
@@ -22,7 +22,7 @@
 
 _PERCENT = 100
 _MS = 1000
-LASTS = float("inf")
+RUNS_FOREVER = float("inf")
 NEVER = float("inf")
 
 
@@ -82,25 +82,25 @@
     def __init__(self, order: StartOrder, plan: TaskPlan, now: float) -> None:
         self.order = order
         self.plan = plan
-        self.began = now
+        self.started_at = now
         self.pace = _PERCENT
 
     @property
-    def ends(self) -> float:
-        return self.began + self.plan.seconds
+    def ends_at(self) -> float:
+        return self.started_at + self.plan.seconds
 
     @property
-    def crashes(self) -> float:
-        return self.began + self.plan.crashes_after
+    def crashes_at(self) -> float:
+        return self.started_at + self.plan.crashes_after
 
     @property
-    def changes(self) -> float:
-        return min(self.ends, self.crashes)
+    def changes_at(self) -> float:
+        return min(self.ends_at, self.crashes_at)
 
     def percent(self, now: float) -> int:
-        if self.plan.seconds == LASTS:
+        if self.plan.seconds == RUNS_FOREVER:
             return _PERCENT
-        done = (now - self.began) / max(self.plan.seconds, 0.001)
+        done = (now - self.started_at) / max(self.plan.seconds, 0.001)
         return min(int(done * _PERCENT), _PERCENT - 1)
 
 
@@ -120,7 +120,7 @@
         plan: Callable[[TaskName], TaskPlan],
         journal: list[RunEvent],
         *,
-        guarded: bool = True,
+        enforces_capacity: bool = True,
         seed: int = 0,
     ) -> None:
         """Starts empty; `journal` takes what happens to runs."""
@@ -130,17 +130,17 @@
         self.down = False
         self._plan = plan
         self._journal = journal
-        self._guarded = guarded
+        self._guarded = enforces_capacity
         self._offset = random.Random(seed).uniform(0, 1000)
-        self._forget()
+        self._reset()
 
-    def _forget(self) -> None:
+    def _reset(self) -> None:
         self._token = 0
         self._lease_end = 0.0
         self._runs: dict[tuple[TaskName, int], _Running] = {}
         self._barred: dict[TaskName, int] = {}
         self._endings: list[Ending] = []
-        self._ended = 0
+        self._ending_count = 0
         self._lapsed = True
         self._lapses = 0
         self._lapses_at_end: dict[int, int] = {}
@@ -148,10 +148,10 @@
     @property
     def committed(self) -> Size:
         """What its runs take."""
-        whole = NO_SIZE
+        total = NO_SIZE
         for running in self._runs.values():
-            whole = whole.plus(running.plan.size)
-        return whole
+            total = total.plus(running.plan.size)
+        return total
 
     def clock(self) -> float:
         """Returns its clock."""
@@ -160,7 +160,7 @@
     def crash(self) -> None:
         """Ends this life and all that runs."""
         self._advance()
-        self._lose_runs()
+        self._drop_runs()
 
     def restart(self) -> None:
         """Begins the next life under the same id, which knows nothing."""
@@ -169,7 +169,7 @@
         now = trio.current_time()
         self.life = self.life._replace(born=self.life.born + 1 + int(now * _MS))
         self._offset = -now
-        self._forget()
+        self._reset()
         self.dead = self.down = False
 
     def advance(self) -> None:
@@ -177,18 +177,18 @@
         if not self.dead:
             self._advance()
 
-    def _lose_runs(self, culprit: tuple[TaskName, int] | None = None) -> None:
+    def _drop_runs(self, culprit: tuple[TaskName, int] | None = None) -> None:
         for task, run in list(self._runs):
             what = "crashed" if (task, run) == culprit else "lost"
-            self._note(task, run, what)
+            self._record_event(task, run, what)
         self._runs.clear()
         self.dead = True
 
     def next_change(self) -> float:
         """Returns in how many seconds something here changes by itself."""
         now = self.clock()
-        ends = [running.changes for running in self._runs.values()]
-        return max(min([*ends, self._lease_end], default=now) - now, 0.0)
+        ends_at = [running.changes_at for running in self._runs.values()]
+        return max(min([*ends_at, self._lease_end], default=now) - now, 0.0)
 
     def figure(self, plan: TaskPlan) -> int:
         """Returns what a run is listed with; see `ListedRun`."""
@@ -203,13 +203,15 @@
         if self.dead or self.life.born != born:
             raise WorkerUnreachableError("the connection was closed")
 
-    def take_hold(self, token: int, seen: int, deadline: float | None) -> None:
+    def handle_hold(
+        self, token: int, seen: int, deadline: float | None
+    ) -> None:
         """Takes a renewal in."""
-        self._check(token)
+        self._check_token(token)
         self._advance()
         for ending in self._endings:
             if ending.number <= seen:
-                self._take_note(ending)
+                self._record_acknowledged(ending)
         self._endings = [e for e in self._endings if e.number > seen]
         if deadline is not None:
             self._lease_end = max(self._lease_end, deadline)
@@ -231,9 +233,9 @@
         ]
         return HoldReply(now, running, list(self._endings), self.life.born)
 
-    def take_start(self, order: StartOrder) -> StartVerdict:
+    def handle_start(self, order: StartOrder) -> StartVerdict:
         """Starts a run, or says why not."""
-        self._check(order.token)
+        self._check_token(order.token)
         self._advance()
         now = self.clock()
         if (order.task, order.run) in self._runs:
@@ -249,18 +251,18 @@
         self._lease_end = max(self._lease_end, order.deadline)
         self._lapsed = False
         self._runs[(order.task, order.run)] = _Running(order, plan, now)
-        self._note(order.task, order.run, "start")
+        self._record_event(order.task, order.run, "start")
         return StartVerdict.STARTED
 
-    def take_stop(self, task: TaskName, run: int, token: int) -> None:
+    def handle_stop(self, task: TaskName, run: int, token: int) -> None:
         """Stops a run, or bars it."""
-        self._check(token)
+        self._check_token(token)
         self._advance()
         self._barred[task] = max(self._barred.get(task, 0), run)
         if (task, run) in self._runs:
-            self._end(task, run, EndKind.STOPPED, self.clock())
+            self._end_run(task, run, EndKind.STOPPED, self.clock())
 
-    def _check(self, token: int) -> None:
+    def _check_token(self, token: int) -> None:
         self.advance()
         if self.down:
             raise WorkerUnreachableError("connection refused", sent=False)
@@ -273,39 +275,41 @@
     def _advance(self) -> None:
         """Ends what has ended by now."""
         now = self.clock()
-        over = min(now, self._lease_end)
+        work_until = min(now, self._lease_end)
         for key, running in self._runs.items():
-            if running.crashes <= min(over, running.ends):
+            if running.crashes_at <= min(work_until, running.ends_at):
                 self.down = True
-                self._lose_runs(key)
+                self._drop_runs(key)
                 return
         for (task, run), running in list(self._runs.items()):
-            if not self.faults.hangs and running.ends <= over:
-                self._end(task, run, self._kind_of(running), running.ends)
+            if not self.faults.hangs and running.ends_at <= work_until:
+                self._end_run(
+                    task, run, self._end_kind(running), running.ends_at
+                )
         if now >= self._lease_end and not self._lapsed:
             self._lapsed = True
             self._lapses += 1
             for task, run in list(self._runs):
-                self._end(task, run, EndKind.LAPSED, self._lease_end)
+                self._end_run(task, run, EndKind.LAPSED, self._lease_end)
 
-    def _kind_of(self, running: _Running) -> EndKind:
+    def _end_kind(self, running: _Running) -> EndKind:
         if running.plan.alone:
             return EndKind.GANG_ALONE
         failed = running.plan.fails or self.faults.fails_all
         return EndKind.FAILED if failed else EndKind.DONE
 
-    def _end(
+    def _end_run(
         self, task: TaskName, run: int, how: EndKind, clock: float
     ) -> None:
         """Ends a run; `clock` is when it really ended."""
         del self._runs[(task, run)]
-        self._ended += 1
-        self._endings.append(Ending(self._ended, task, run, how, ""))
-        self._lapses_at_end[self._ended] = self._lapses
+        self._ending_count += 1
+        self._endings.append(Ending(self._ending_count, task, run, how, ""))
+        self._lapses_at_end[self._ending_count] = self._lapses
         self._barred[task] = max(self._barred.get(task, 0), run)
-        self._note(task, run, how.value, clock - self._offset)
+        self._record_event(task, run, how.value, clock - self._offset)
 
-    def _take_note(self, ending: Ending) -> None:
+    def _record_acknowledged(self, ending: Ending) -> None:
         """Notes an ending whose record the owner has, unless it is void.
 
         A lease that lapsed before voids it: the task may have been started
@@ -313,9 +317,9 @@
         """
         if self._lapses_at_end[ending.number] == self._lapses:
             what = f"noted {ending.how.value}"
-            self._note(ending.task, ending.run, what)
+            self._record_event(ending.task, ending.run, what)
 
-    def _note(
+    def _record_event(
         self, task: TaskName, run: int, what: str, at: float | None = None
     ) -> None:
         when = trio.current_time() if at is None else at
--- a/pimentocross/standins/users_platform.py
+++ b/pimentocross/standins/users_platform.py
@@ -36,18 +36,18 @@
 from pimentocross.standins.task_worker import TaskWorkerStandin
 from pimentocross.work.spec import TaskName
 
-_KEYED = "keyed."
-_PATIENCE = 60.0
-_PAGE = 500
-_POLL = 0.02
-_CLIENT = "wire"
-_REASONS = {
+_KEYED_PREFIX = "keyed."
+_TIMEOUT = 60.0
+_PAGE_SIZE = 500
+_POLL_INTERVAL = 0.02
+_CLIENT_NAME = "wire"
+_REFUSAL_REASONS = {
     StartVerdict.SUPERSEDED: "old",
     StartVerdict.LATE: "late",
     StartVerdict.NO_ROOM: "room",
     StartVerdict.NO_TICKET: "ticket",
 }
-_ENDS = {
+_END_NAMES = {
     EndKind.DONE: "done",
     EndKind.FAILED: "failed",
     EndKind.STOPPED: "stopped",
@@ -57,17 +57,17 @@
 }
 
 
-class StoreSurface:
+class StoreHandler:
     """The store's calls."""
 
     def __init__(self, store: StoreStandin) -> None:
         """Takes the stand-in that carries them out."""
-        self._client = store.client(_CLIENT)
+        self._client = store.client(_CLIENT_NAME)
 
     async def handle(self, request: HttpRequest) -> HttpReply:
         """Answers one call."""
         query = dict(parse_qsl(request.query.decode()))
-        topic = query.get("topic", "").removeprefix(_KEYED)
+        topic = query.get("topic", "").removeprefix(_KEYED_PREFIX)
         try:
             if request.path == "/pimentocross/log-append":
                 return await self._append(topic, query, request.body)
@@ -93,7 +93,7 @@
         at = int(query["at"]) if "at" in query else None
         try:
             offset = await self._client.append(
-                topic, records, _PATIENCE, at=at, mark=mark
+                topic, records, _TIMEOUT, at=at, mark=mark
             )
         except ConditionFailedError as error:
             return json_reply({"end_offset": error.end}, 412)
@@ -111,7 +111,7 @@
         wait = float(query.get("wait_ms", 0)) / 1000
         try:
             page = await self._client.read(
-                topic, int(query["from"]), wait, _PATIENCE
+                topic, int(query["from"]), wait, _TIMEOUT
             )
         except HistoryExpiredError:
             return json_reply({"first_offset": 0}, 410)
@@ -120,7 +120,7 @@
         return HttpReply(200, [], body)
 
     async def _newest(self, topic: str, query: Mapping[str, str]) -> HttpReply:
-        page = await self._client.newest(topic, _PATIENCE)
+        page = await self._client.newest(topic, _TIMEOUT)
         records = sorted(page.records, key=lambda r: r.key)
         after = query.get("after", "")
         records = [record for record in records if record.key > after]
@@ -130,18 +130,18 @@
                 "value": base64.b64encode(record.value or b"").decode(),
                 "offset": record.offset,
             }
-            for record in records[:_PAGE]
+            for record in records[:_PAGE_SIZE]
         ]
         return json_reply(
             {
                 "items": items,
-                "has_more": len(records) > _PAGE,
+                "has_more": len(records) > _PAGE_SIZE,
                 "end_offset": page.end,
             }
         )
 
 
-class WorkerSurface:
+class WorkerHandler:
     """One worker's calls."""
 
     def __init__(self, worker: TaskWorkerStandin) -> None:
@@ -176,7 +176,7 @@
 
     async def _hold(self, body: dict[str, Any]) -> HttpReply:
         deadline = body.get("deadline_ms")
-        self._worker.take_hold(
+        self._worker.handle_hold(
             body["fencing_token"],
             body["last_seen"],
             None if deadline is None else deadline / 1000,
@@ -184,18 +184,30 @@
         until = trio.current_time() + body.get("wait_ms", 0) / 1000
         listing = self._worker.listing()
         while not listing.endings and trio.current_time() < until:
-            await trio.sleep(_POLL)
+            await trio.sleep(_POLL_INTERVAL)
             listing = self._worker.listing()
         return json_reply(
             {
                 "clock_ms": int(listing.clock * 1000),
                 "born": listing.born,
                 "running": [
-                    [_spell(r.task), r.run, r.checkpoint, r.percent, r.figure]
+                    [
+                        _format_task(r.task),
+                        r.run,
+                        r.checkpoint,
+                        r.percent,
+                        r.figure,
+                    ]
                     for r in listing.running
                 ],
                 "completions": [
-                    [e.number, _spell(e.task), e.run, _ENDS[e.how], ""]
+                    [
+                        e.number,
+                        _format_task(e.task),
+                        e.run,
+                        _END_NAMES[e.how],
+                        "",
+                    ]
                     for e in listing.endings
                 ],
             }
@@ -210,13 +222,13 @@
             body["fencing_token"],
             body.get("checkpoint", ""),
         )
-        verdict = self._worker.take_start(order)
+        verdict = self._worker.handle_start(order)
         if verdict is StartVerdict.STARTED:
             return json_reply({"clock_ms": self._clock()})
-        return self._refuse(_REASONS[verdict])
+        return self._refuse(_REFUSAL_REASONS[verdict])
 
     def _stop(self, body: dict[str, Any]) -> HttpReply:
-        self._worker.take_stop(
+        self._worker.handle_stop(
             _read_task(body["task"]), body["run_id"], body["fencing_token"]
         )
         return json_reply({"clock_ms": self._clock()})
@@ -231,7 +243,7 @@
         return int(self._worker.clock() * 1000)
 
 
-def server_entry(life: WorkerLife) -> bytes:
+def worker_entry(life: WorkerLife) -> bytes:
     """Returns a worker's entry in the store."""
     return msgspec.json.encode(
         {
@@ -300,7 +312,7 @@
     )
 
 
-def _spell(name: TaskName) -> str:
+def _format_task(name: TaskName) -> str:
     return f"{name.job}.{name.occurrence}.{name.step}.{name.position}"
 
 
--- a/pimentocross/standins/vms.py
+++ b/pimentocross/standins/vms.py
@@ -20,7 +20,7 @@
 )
 from pimentocross.standins.faults import FaultError, FaultPlan, Faults
 
-_BODY_MOST = 64 * 1024
+_MAX_BODY_BYTES = 64 * 1024
 
 
 class VmListStandin:
@@ -41,19 +41,19 @@
     def put(self, vm: Vm) -> None:
         """Lists a VM, in place of one of the same name."""
         self._vms[vm.name] = vm
-        self._note()
+        self._record_snapshot()
 
     def remove(self, name: str) -> None:
         """Drops a VM."""
         self._vms.pop(name, None)
-        self._note()
+        self._record_snapshot()
 
     def leave(self, name: str) -> None:
         """Marks a VM as leaving."""
         if name in self._vms:
             vm = self._vms[name]
             self._vms[name] = vm._replace(state=VmState.LEAVING)
-            self._note()
+            self._record_snapshot()
 
     async def fetch(self) -> list[Vm]:
         """Returns the list as it was; see `VmList`."""
@@ -68,7 +68,7 @@
             return []
         return self._history[0][1]
 
-    def _note(self) -> None:
+    def _record_snapshot(self) -> None:
         entry = (trio.current_time(), list(self._vms.values()))
         self._history.append(entry)
 
@@ -78,7 +78,7 @@
 
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         request = await read_request(
-            scope, receive, body_most=_BODY_MOST, timeout=10.0
+            scope, receive, body_most=_MAX_BODY_BYTES, timeout=10.0
         )
         name = request.path.removeprefix("/vms").strip("/")
         try:
@@ -91,7 +91,7 @@
                 vms.leave(name)
             elif request.method == "DELETE":
                 vms.remove(name)
-            reply = _tagged(json_reply(await vms.fetch()), request)
+            reply = _with_etag(json_reply(await vms.fetch()), request)
         except VmListUnavailableError:
             reply = json_reply({"error": "told to fail"}, status=503)
         await send_reply(send, reply)
@@ -99,7 +99,7 @@
     return app
 
 
-def _tagged(reply: HttpReply, request: HttpRequest) -> HttpReply:
+def _with_etag(reply: HttpReply, request: HttpRequest) -> HttpReply:
     """Leaves the body out if the other side has it already."""
     etag = xxhash.xxh3_64_hexdigest(reply.body)
     headers = [*reply.headers, (b"etag", etag.encode())]
--- a/pimentocross/standins/worker.py
+++ b/pimentocross/standins/worker.py
@@ -47,7 +47,7 @@
 from pimentocross.standins.service import ServiceStandin
 from pimentocross.standins.worker_task import StandinTask
 
-_BODY_MOST = 4 * 1024 * 1024
+_MAX_BODY_BYTES = 4 * 1024 * 1024
 _REAP_INTERVAL = 0.1
 _USAGE_INTERVAL = 1.0
 
@@ -97,7 +97,7 @@
         self._epoch = 0
         self._sequence = -1
         self._tasks: dict[str, StandinTask] = {}
-        self._change = 0
+        self._change_count = 0
         self._usage: deque[Usage] = deque()
         self._nursery: trio.Nursery | None = None
         self.service = ServiceStandin(
@@ -151,7 +151,7 @@
             await self.faults.before()
             self._end_lapsed()
             self._check_fence(request)
-            self._take_commands(request)
+            self._apply_commands(request)
             reply = self._reply(request.seen)
             self.faults.after()
         except FaultError as error:
@@ -173,24 +173,26 @@
         self._epoch = request.epoch
         self._sequence = request.sequence
 
-    def _take_commands(self, request: Exchange) -> None:
+    def _apply_commands(self, request: Exchange) -> None:
         if not request.incarnation:
             return
-        for held in self._tasks.values():
-            until = _lease_of(held.spec, request)
-            held.lease_until = max(held.lease_until, until)
+        for known_task in self._tasks.values():
+            until = _lease_end_of(known_task.spec, request)
+            known_task.lease_until = max(known_task.lease_until, until)
         for array in request.commands:
             match COMMANDS.unpack(array):
                 case Start(spec):
-                    self._start(spec, _lease_of(spec, request))
+                    self._start(spec, _lease_end_of(spec, request))
                 case Stop(task, attempt, _):
-                    self._end(self._find(task, attempt), TaskState.STOPPED)
+                    self._end(
+                        self._find_attempt(task, attempt), TaskState.STOPPED
+                    )
                 case Throttle(task, attempt, share):
-                    self._throttle(self._find(task, attempt), share)
+                    self._throttle(self._find_attempt(task, attempt), share)
                 case Forget(task, attempt):
-                    self._forget(self._find(task, attempt))
+                    self._forget(self._find_attempt(task, attempt))
 
-    def _find(self, task: str, attempt: Attempt) -> StandinTask | None:
+    def _find_attempt(self, task: str, attempt: Attempt) -> StandinTask | None:
         found = self._tasks.get(task)
         if found is not None and found.spec.attempt == attempt:
             return found
@@ -207,8 +209,8 @@
         assert self._nursery is not None
         task = StandinTask(spec, lease_until)
         self._tasks[spec.task] = task
-        self._mark(task)
-        self._note(JournalEvent.STARTED, task, "", trio.current_time())
+        self._mark_changed(task)
+        self._record_event(JournalEvent.STARTED, task, "", trio.current_time())
         self._nursery.start_soon(self._run_task, task)
 
     async def _run_task(self, task: StandinTask) -> None:
@@ -220,13 +222,13 @@
                 task.result = "the worker is broken"
                 self._end(task, TaskState.FAILED)
                 return
-            await self._work(task)
+            await self._wait_until_done(task)
             failure = task.failure
             task.result = failure or f"done {task.spec.task}"
             ended = TaskState.FAILED if failure else TaskState.FINISHED
             self._end(task, ended)
 
-    async def _work(self, task: StandinTask) -> None:
+    async def _wait_until_done(self, task: StandinTask) -> None:
         done = False
         while not done:
             with trio.move_on_after(task.seconds_left) as scope:
@@ -241,7 +243,7 @@
         task.throttle = share
         task.rate_changed.set()
         task.rate_changed = trio.Event()
-        self._mark(task)
+        self._mark_changed(task)
 
     def _end(self, task: StandinTask | None, state: TaskState) -> None:
         if task is None or task.state is not TaskState.RUNNING:
@@ -252,8 +254,8 @@
         if state is TaskState.LAPSED:
             ended_at = min(ended_at, task.lease_until)
         task.scope.cancel()
-        self._mark(task)
-        self._note(JournalEvent.ENDED, task, state.value, ended_at)
+        self._mark_changed(task)
+        self._record_event(JournalEvent.ENDED, task, state.value, ended_at)
 
     def _end_lapsed(self) -> None:
         now = trio.current_time()
@@ -265,9 +267,9 @@
         if task is not None and task.state is not TaskState.RUNNING:
             del self._tasks[task.spec.task]
 
-    def _mark(self, task: StandinTask) -> None:
-        self._change += 1
-        task.changed = self._change
+    def _mark_changed(self, task: StandinTask) -> None:
+        self._change_count += 1
+        task.changed = self._change_count
         self.service.running = {
             spec.class_name
             for spec in self.running.values()
@@ -284,9 +286,9 @@
             self.service_address,
             self._shape.connections,
             self.leaving,
-            self._change,
+            self._change_count,
             [t.report() for t in changed],
-            self._take_usage(),
+            self._pop_usage(),
         )
 
     async def _measure_usage(self) -> None:
@@ -307,14 +309,14 @@
             while len(self._usage) > 1000:
                 self._usage.popleft()
 
-    def _take_usage(self) -> list[Usage]:
+    def _pop_usage(self) -> list[Usage]:
         known_before = trio.current_time() - self._shape.usage_lag
-        taken = []
+        reported = []
         while self._usage and self._usage[0].measured_at <= known_before:
-            taken.append(self._usage.popleft())
-        return taken
+            reported.append(self._usage.popleft())
+        return reported
 
-    def _note(
+    def _record_event(
         self, event: JournalEvent, task: StandinTask, detail: str, at: float
     ) -> None:
         load = self.load
@@ -333,7 +335,7 @@
         )
 
 
-def _lease_of(spec: TaskSpec, request: Exchange) -> float:
+def _lease_end_of(spec: TaskSpec, request: Exchange) -> float:
     if spec.kind is TaskKind.SERVICE:
         return request.service_lease_until
     return request.lease_until
@@ -355,7 +357,7 @@
 
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         request = await read_request(
-            scope, receive, body_most=_BODY_MOST, timeout=10.0
+            scope, receive, body_most=_MAX_BODY_BYTES, timeout=10.0
         )
         given = request.header(b"authorization").encode()
         if not hmac.compare_digest(given, expected):
--- a/pimentocross/standins/worker_hall.py
+++ b/pimentocross/standins/worker_pool.py
@@ -22,7 +22,7 @@
 )
 from pimentocross.work.spec import TaskName
 
-_POLL = 0.02
+_POLL_INTERVAL = 0.02
 
 
 class TaskWorkerLink:
@@ -43,14 +43,14 @@
     ) -> HoldReply:
         """Lists runs and endings."""
         worker = self._worker
-        await self._order(
-            lambda: worker.take_hold(token, seen, deadline), timeout
+        await self._send_order(
+            lambda: worker.handle_hold(token, seen, deadline), timeout
         )
         born = worker.life.born
         until = trio.current_time() + wait
         reply = worker.listing()
         while not reply.endings and trio.current_time() < until:
-            await trio.sleep(_POLL)
+            await trio.sleep(_POLL_INTERVAL)
             worker.check_connected(born)
             reply = worker.listing()
         if self._unreachable():
@@ -61,8 +61,8 @@
         """Starts a run."""
         worker = self._worker
         verdicts: list[StartVerdict] = []
-        await self._order(
-            lambda: verdicts.append(worker.take_start(order)), timeout
+        await self._send_order(
+            lambda: verdicts.append(worker.handle_start(order)), timeout
         )
         return StartReply(verdicts[0], worker.clock())
 
@@ -71,13 +71,15 @@
     ) -> None:
         """Stops a run."""
         worker = self._worker
-        await self._order(lambda: worker.take_stop(task, run, token), timeout)
+        await self._send_order(
+            lambda: worker.handle_stop(task, run, token), timeout
+        )
 
     async def pace(
         self, task: TaskName, run: int, percent: int, token: int, timeout: float
     ) -> None:
         """Is not modelled."""
-        await self._order(lambda: None, timeout)
+        await self._send_order(lambda: None, timeout)
 
     async def aclose(self) -> None:
         """Has nothing to close."""
@@ -87,7 +89,7 @@
         worker = self._worker
         return worker.faults.silent or worker.life.id in self._cut
 
-    async def _order(
+    async def _send_order(
         self, carry_out: Callable[[], None], timeout: float
     ) -> None:
         faults = self._worker.faults
@@ -117,7 +119,7 @@
             return
 
 
-class WorkerHall:
+class WorkerPool:
     """All workers, their directory, and each VM's access to them.
 
     Attributes:
@@ -136,41 +138,41 @@
         self.journal: list[RunEvent] = []
         self.cut: dict[str, set[str]] = {}
         self.directory_away = False
-        self.left_over: dict[str, WorkerLife] = {}
-        self.stale: dict[str, WorkerLife] = {}
+        self.lingering_entries: dict[str, WorkerLife] = {}
+        self.stale_entries: dict[str, WorkerLife] = {}
 
     def add(self, worker: TaskWorkerStandin) -> None:
         """Lists a worker."""
         self.workers[worker.life.id] = worker
 
-    def access(self, vm: str) -> "HallAccess":
+    def access(self, vm: str) -> "WorkerPoolAccess":
         """Returns a VM's access: directory and dialer."""
-        return HallAccess(self, self.cut.setdefault(vm, set()))
+        return WorkerPoolAccess(self, self.cut.setdefault(vm, set()))
 
 
-class HallAccess:
+class WorkerPoolAccess:
     """One VM's access; see `WorkerDirectory` and `WorkerDialer`."""
 
-    def __init__(self, hall: WorkerHall, cut: set[str]) -> None:
-        """Takes the hall and the lives out of reach."""
-        self._hall = hall
+    def __init__(self, pool: WorkerPool, cut: set[str]) -> None:
+        """Initializes access with the lives that the VM cannot reach."""
+        self._pool = pool
         self._cut = cut
 
     async def poll(self, timeout: float) -> list[WorkerLife]:
         """Returns all workers listed."""
         await trio.sleep(0.004)
-        if self._hall.directory_away:
+        if self._pool.directory_away:
             raise StoreUnavailableError("directory away", sent=True)
         living = [
-            self._hall.stale.get(life_id, worker.life)
-            for life_id, worker in self._hall.workers.items()
-            if life_id not in self._hall.unlisted
+            self._pool.stale_entries.get(life_id, worker.life)
+            for life_id, worker in self._pool.workers.items()
+            if life_id not in self._pool.unlisted
         ]
-        return [*living, *self._hall.left_over.values()]
+        return [*living, *self._pool.lingering_entries.values()]
 
     def link(self, life: WorkerLife) -> TaskWorkerLink:
         """Returns a link; to a life that never was, one that is silent."""
-        worker = self._hall.workers.get(life.id)
+        worker = self._pool.workers.get(life.id)
         if worker is None:
             worker = TaskWorkerStandin(life, lambda _: TaskPlan(0.0), [])
             worker.faults.silent = True
--- a/pimentocross/standins/worker_task.py
+++ b/pimentocross/standins/worker_task.py
@@ -12,7 +12,7 @@
     TaskState,
 )
 
-_SLOWEST = 0.01
+_MIN_RATE = 0.01
 # A checkpoint is the share of the work done, times this.
 _CHECKPOINT_SCALE = 1_000_000
 
@@ -45,7 +45,7 @@
         self._input = _read_input(spec)
         self.seconds = self._input.seconds
         self._done_seconds = _read_checkpoint(spec) * self.seconds
-        self._counted_at = trio.current_time()
+        self._progress_at = trio.current_time()
 
     @property
     def failure(self) -> str:
@@ -67,15 +67,15 @@
 
     @property
     def _rate(self) -> float:
-        return max(self.throttle, _SLOWEST)
+        return max(self.throttle, _MIN_RATE)
 
     def count_progress(self) -> None:
         """Adds what was done since the last count, while it runs."""
         now = trio.current_time()
         if self.state is TaskState.RUNNING:
-            done = self._done_seconds + (now - self._counted_at) * self._rate
+            done = self._done_seconds + (now - self._progress_at) * self._rate
             self._done_seconds = min(done, self.seconds)
-        self._counted_at = now
+        self._progress_at = now
 
     def report(self) -> TaskReport:
         """Returns what the worker says of it."""
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -25,7 +25,7 @@
     for info in pkgutil.walk_packages(__path__, f"{__name__}."):
         if info.name.rpartition(".")[2].startswith(_PREFIX):
             module = importlib.import_module(info.name)
-            suite.addTests(_gather(module))
+            suite.addTests(_test_cases(module))
     return suite
 
 
@@ -44,7 +44,7 @@
     trio_run._r = random.Random(seed)  # type: ignore[attr-defined,misc,unused-ignore]
 
 
-def _gather(module: ModuleType) -> list[unittest.TestCase]:
+def _test_cases(module: ModuleType) -> list[unittest.TestCase]:
     return [
         _make_case(function)
         for name, function in vars(module).items()
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -10,7 +10,7 @@
 _SLOW_SECONDS = 5.0
 # Tests that fail for a fault that is not mended yet: test, cause, issue.
 _KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
-_KNOWN_RED_MOST = 3
+_MAX_KNOWN_RED = 3
 
 
 class _Result(unittest.TextTestResult):
@@ -68,9 +68,9 @@
     failed = len(red - set(known))
     passed = result.testsRun - len(red)
     print(f"{passed} passed, {failed} failed")
-    too_many = len(known) > _KNOWN_RED_MOST
+    too_many = len(known) > _MAX_KNOWN_RED
     if too_many:
-        print(f"KNOWN-RED.txt: {len(known)} lines, {_KNOWN_RED_MOST} at most")
+        print(f"KNOWN-RED.txt: {len(known)} lines, {_MAX_KNOWN_RED} at most")
     return 1 if failed or too_many or result.testsRun == 0 else 0
 
 
--- a/tests/crash_loops.py
+++ b/tests/crash_loops.py
@@ -19,13 +19,13 @@
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.supervisor import Supervisor
 from pimentocross.standins.task_worker import (
-    LASTS,
     NEVER,
+    RUNS_FOREVER,
     RunEvent,
     TaskPlan,
     TaskWorkerStandin,
 )
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.spec import JobSpec, StepSpec, TaskName
 from pimentocross.work.state import JobState
 from tests import run_virtual
@@ -131,7 +131,7 @@
 def _plan(name: TaskName) -> TaskPlan:
     crashes = _is_crashing(name.job) and not name.position
     return TaskPlan(
-        LASTS if name.job.startswith("last") else 1.5,
+        RUNS_FOREVER if name.job.startswith("last") else 1.5,
         SMALL,
         crashes_after=0.01 if crashes else NEVER,
     )
@@ -141,7 +141,7 @@
     """A cell whose owners may be killed, and the states of its jobs."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
-        self.hall = WorkerHall()
+        self.hall = WorkerPool()
         self.states: dict[str, JobState | None] = {}
         self._kills = scenario.kills
         self._random = random.Random(seed)
--- a/tests/fixtures.py
+++ b/tests/fixtures.py
@@ -18,8 +18,8 @@
 from pimentocross.links.peer import StreamDialer
 from pimentocross.standins.checks import (
     Run,
-    find_over_commit,
-    find_two_places,
+    find_concurrent_runs,
+    find_overcommitted_workers,
     read_runs,
 )
 from pimentocross.standins.direct import DirectDialer
@@ -282,9 +282,9 @@
 
     def check(self) -> None:
         """Checks the invariants over the whole history of runs."""
-        violations = find_two_places(self.runs())
+        violations = find_concurrent_runs(self.runs())
         capacity = self.config.workers.resources
-        violations += find_over_commit(self.journal.entries, capacity)
+        violations += find_overcommitted_workers(self.journal.entries, capacity)
         assert not violations, violations
 
     def _make_dial(self, name: str) -> StreamDialer:
--- a/tests/gateway_fixtures.py
+++ b/tests/gateway_fixtures.py
@@ -32,7 +32,7 @@
 from pimentocross.links.peer import PeerListener
 from pimentocross.owner.owner import CellPlatform
 from pimentocross.standins.store import StoreClientStandin, StoreStandin
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.queue import Queue, WorkConfig
 from tests.owner_fixtures import CONFIG, make_hall
 
@@ -239,7 +239,7 @@
     def __init__(self) -> None:
         """Initializes a cell without VMs."""
         self.store = StoreStandin()
-        self.hall: WorkerHall = make_hall()
+        self.hall: WorkerPool = make_hall()
         self.vms: dict[str, Vm] = {}
         self.former = False
         self.answer_delay = _NETWORK_DELAY
--- a/tests/owner_fixtures.py
+++ b/tests/owner_fixtures.py
@@ -20,7 +20,7 @@
     TaskPlan,
     TaskWorkerStandin,
 )
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.queue import (
     CallerLimits,
     Queue,
@@ -124,9 +124,9 @@
 
 def make_hall(
     workers: int = 4, plan: Callable[[TaskName], TaskPlan] = quick
-) -> WorkerHall:
+) -> WorkerPool:
     """Returns stand-in workers of 8 cores each."""
-    hall = WorkerHall()
+    hall = WorkerPool()
     for number in range(workers):
         hall.add(
             TaskWorkerStandin(life(number), plan, hall.journal, seed=number)
@@ -151,7 +151,7 @@
 
 def make_owner(
     store: StoreStandin,
-    hall: WorkerHall,
+    hall: WorkerPool,
     epoch: int,
     *,
     vm: str = "a",
--- a/tests/platform_fixtures.py
+++ b/tests/platform_fixtures.py
@@ -24,10 +24,10 @@
     TaskWorkerStandin,
 )
 from pimentocross.standins.users_platform import (
-    StoreSurface,
-    WorkerSurface,
+    StoreHandler,
+    WorkerHandler,
     operator_config,
-    server_entry,
+    worker_entry,
 )
 from tests.owner_fixtures import SMALL, life
 
@@ -61,7 +61,7 @@
 
     async def list_worker(self, worker: TaskWorkerStandin) -> None:
         """Writes the entry of a worker to the store."""
-        record = Record(worker.life.id, server_entry(worker.life))
+        record = Record(worker.life.id, worker_entry(worker.life))
         await self.store.client("worker").append("servers", [record], 1.0)
 
 
@@ -79,7 +79,7 @@
             return f"{HOST}:{port}"
 
         platform.store_address = await serve(
-            StoreSurface(platform.store).handle
+            StoreHandler(platform.store).handle
         )
         for number in range(workers):
             worker = TaskWorkerStandin(
@@ -87,7 +87,7 @@
                 lambda _: TaskPlan(seconds, SMALL),
                 platform.journal,
             )
-            address = await serve(WorkerSurface(worker).handle)
+            address = await serve(WorkerHandler(worker).handle)
             worker.life = worker.life._replace(address=address)
             platform.workers.append(worker)
             await platform.list_worker(worker)
--- a/tests/random_faults.py
+++ b/tests/random_faults.py
@@ -14,7 +14,7 @@
 from tests.fixtures import FILES, Cluster, open_cluster, wait_for
 
 _DURATION = 120.0
-_SETTLE = 300.0
+_SETTLE_TIMEOUT = 300.0
 
 
 class _Model:
@@ -43,7 +43,7 @@
     def __init__(self, cluster: Cluster, seed: int) -> None:
         """Takes a cluster that runs."""
         self._cluster = cluster
-        self._draw = random.Random(seed)
+        self._rng = random.Random(seed)
         self._model = _Model()
         self._number = 0
         self._paused: set[str] = set()
@@ -55,22 +55,22 @@
             ends_at = trio.current_time() + _DURATION
             while trio.current_time() < ends_at:
                 nursery.start_soon(self._submit)
-                if self._draw.random() < 0.3:
+                if self._rng.random() < 0.3:
                     nursery.start_soon(self._change_config)
-                self._bring_fault()
-                await trio.sleep(self._draw.uniform(0.5, 6.0))
+                self._inject_fault()
+                await trio.sleep(self._rng.uniform(0.5, 6.0))
                 self._model.check(self._cluster)
-            self._mend_all()
+            self._clear_all_faults()
         await self._wait_jobs()
         self._model.check(self._cluster)
 
     async def _submit(self) -> None:
         cluster = self._cluster
         self._number += 1
-        cell = self._draw.choice(["north", "south"])
+        cell = self._rng.choice(["north", "south"])
         job = f"{cell}.j{self._number}"
-        node = self._draw.choice(cluster.nodes)
-        seconds = self._draw.uniform(0.5, 15.0)
+        node = self._rng.choice(cluster.nodes)
+        seconds = self._rng.uniform(0.5, 15.0)
         result = await node.jobs.submit(
             job, "planning", "plan", 1, f'{{"seconds": {seconds}}}', 6.0
         )
@@ -78,21 +78,21 @@
             self._model.accepted.add(job)
         elif result.error.state == "not run":
             self._model.refused.add(job)
-        if result.is_ok() and self._draw.random() < 0.15:
+        if result.is_ok() and self._rng.random() < 0.15:
             cancelled = await node.jobs.cancel(job, 6.0)
             if cancelled.is_ok():
                 self._model.cancelled.add(job)
 
     async def _change_config(self) -> None:
-        node = self._draw.choice(self._cluster.nodes)
+        node = self._rng.choice(self._cluster.nodes)
         base = node.config.state.version
-        replicas = self._draw.randrange(1, 4)
+        replicas = self._rng.randrange(1, 4)
         text = FILES["10.yaml"].replace("replicas: 2", f"replicas: {replicas}")
         verdict = await self._cluster.apply({"10.yaml": text}, base)
         assert verdict.outcome in Outcome
 
-    def _bring_fault(self) -> None:
-        match self._draw.randrange(9):
+    def _inject_fault(self) -> None:
+        match self._rng.randrange(9):
             case 0:
                 self._kill_or_restart_entry()
             case 1:
@@ -100,23 +100,23 @@
             case 2:
                 self._pause_or_resume()
             case 3 | 4:
-                self._cut_something()
+                self._cut_random_link()
             case 5:
                 away = FaultPlan(away=True)
                 lossy = FaultPlan(lose_replies=0.3, lose_requests=0.2)
-                plan = self._draw.choice([away, lossy])
+                plan = self._rng.choice([away, lossy])
                 self._cluster.log.faults.plan = plan
             case 6 | 7:
                 self._cluster.log.faults.plan = FaultPlan()
             case 8:
-                self._mend_links()
+                self._restore_links()
 
     def _kill_or_restart_entry(self) -> None:
         down = [n for n in self._down if n.startswith("e")]
         if down:
             self._cluster.add_entry(down[0], self._down.pop(down[0]))
             return
-        name = self._draw.choice(sorted(self._cluster.entries))
+        name = self._rng.choice(sorted(self._cluster.entries))
         entry = self._cluster.entries[name]
         self._down[name] = entry.node.peers.local_identity.zone
         self._cluster.kill_entry(name)
@@ -127,7 +127,7 @@
         if len(down) >= 2:
             self._cluster.add_worker(down[0], self._down.pop(down[0]))
             return
-        name = self._draw.choice(sorted(self._cluster.workers))
+        name = self._rng.choice(sorted(self._cluster.workers))
         self._down[name] = self._cluster.workers[name].shape.cell
         self._cluster.kill_worker(name)
 
@@ -136,23 +136,23 @@
             name = self._paused.pop()
             self._cluster.entries[name].gate.resume()
             return
-        name = self._draw.choice(sorted(self._cluster.entries))
+        name = self._rng.choice(sorted(self._cluster.entries))
         self._cluster.entries[name].gate.pause()
         self._paused.add(name)
 
-    def _cut_something(self) -> None:
-        name = self._draw.choice(sorted(self._cluster.entries))
+    def _cut_random_link(self) -> None:
+        name = self._rng.choice(sorted(self._cluster.entries))
         others = ["log", *self._cluster.workers, *self._cluster.entries]
-        other = self._draw.choice(sorted(set(others) - {name}))
+        other = self._rng.choice(sorted(set(others) - {name}))
         self._cluster.cut(name, other)
 
-    def _mend_links(self) -> None:
+    def _restore_links(self) -> None:
         for name in list(self._cluster.entries):
             self._cluster.reconnect(name)
 
-    def _mend_all(self) -> None:
+    def _clear_all_faults(self) -> None:
         self._cluster.log.faults.plan = FaultPlan()
-        self._mend_links()
+        self._restore_links()
         for name in self._paused:
             self._cluster.entries[name].gate.resume()
         self._paused.clear()
@@ -172,7 +172,7 @@
                 lambda: all(
                     cluster.job_state(j) == s for j, s in expected.items()
                 ),
-                _SETTLE,
+                _SETTLE_TIMEOUT,
             )
         except trio.TooSlowError:
             wrong = {
--- a/tests/random_take_overs.py
+++ b/tests/random_take_overs.py
@@ -20,12 +20,12 @@
 from pimentocross.owner import wall
 from pimentocross.owner.job_api import Outcome
 from pimentocross.standins.task_worker import (
-    LASTS,
+    RUNS_FOREVER,
     RunEvent,
     TaskPlan,
     TaskWorkerStandin,
 )
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.spec import JobSpec, Size, StepSpec, TaskName
 from tests import run_virtual
 from tests.gateway_fixtures import STRONG, WEAK, VmCell
@@ -86,7 +86,7 @@
         """Initializes the simulation with the choices that hold throughout."""
         self._rng = random.Random(seed)
         self._cell = VmCell()
-        self._hall: WorkerHall = make_hall(_WORKER_COUNT, self._plan_task)
+        self._hall: WorkerPool = make_hall(_WORKER_COUNT, self._plan_task)
         self._cell.hall = self._hall
         self._cell.read_duration = self._rng.choice((0.0, 0.3, 1.0))
         # If workers don't report when they were started, owners don't wait for
@@ -135,7 +135,7 @@
 
     def _plan_task(self, name: TaskName) -> TaskPlan:
         if name.job.startswith(_LASTING_JOB_PREFIX):
-            return TaskPlan(LASTS, _LASTING_TASK_SIZE)
+            return TaskPlan(RUNS_FOREVER, _LASTING_TASK_SIZE)
         return TaskPlan(self._rng.uniform(0.2, 4.0), _SHORT_TASK_SIZE)
 
     def _set_birth_reporting(self, worker: TaskWorkerStandin) -> None:
--- a/tests/slow_vm.py
+++ b/tests/slow_vm.py
@@ -26,15 +26,15 @@
 )
 from pimentocross.platform import __main__ as process
 from pimentocross.standins.task_worker import (
-    LASTS,
+    RUNS_FOREVER,
     RunEvent,
     TaskPlan,
     TaskWorkerStandin,
 )
-from pimentocross.standins.worker_hall import (
-    HallAccess,
+from pimentocross.standins.worker_pool import (
     TaskWorkerLink,
-    WorkerHall,
+    WorkerPool,
+    WorkerPoolAccess,
 )
 from pimentocross.work.spec import Size, TaskName
 
@@ -115,7 +115,7 @@
     def figure(self, plan: TaskPlan) -> int:
         """Returns a figure as a serving or best-effort task would report."""
         ratio = self._figures.uniform(0.3, 0.9)
-        whole = TARGET if plan.seconds == LASTS else plan.size.cpu
+        whole = TARGET if plan.seconds == RUNS_FOREVER else plan.size.cpu
         return int(whole * ratio)
 
 
@@ -142,8 +142,8 @@
         """Lists runs and endings."""
         worker = self._uncharged_worker
         with self._charged(timeout):
-            await self._order(
-                lambda: worker.take_hold(token, seen, deadline), timeout
+            await self._send_order(
+                lambda: worker.handle_hold(token, seen, deadline), timeout
             )
             born = worker.life.born
             until = trio.current_time() + wait
@@ -179,30 +179,30 @@
         except trio.TooSlowError as error:
             raise WorkerUnreachableError("no answer in time") from error
 
-    async def _order(
+    async def _send_order(
         self, carry_out: Callable[[], None], timeout: float
     ) -> None:
         def carry_out_uncharged() -> None:
             with self._uncharged_worker.charging.uncharged():
                 carry_out()
 
-        await super()._order(carry_out_uncharged, timeout)
+        await super()._send_order(carry_out_uncharged, timeout)
 
 
-class _ChargedAccess(HallAccess):
+class _ChargedAccess(WorkerPoolAccess):
     """Access to workers over links that charge each call."""
 
     def link(self, life: WorkerLife) -> TaskWorkerLink:
-        worker = self._hall.workers.get(life.id)
+        worker = self._pool.workers.get(life.id)
         if not isinstance(worker, UnchargedWorker):
             return super().link(life)
         return ChargedLink(worker, self._cut)
 
 
-class LargeHall(WorkerHall):
+class LargeHall(WorkerPool):
     """Workers of a large cell, with calls charged to the clock."""
 
-    def access(self, vm: str) -> HallAccess:
+    def access(self, vm: str) -> WorkerPoolAccess:
         """Returns the access of a VM."""
         return _ChargedAccess(self, self.cut.setdefault(vm, set()))
 
@@ -236,7 +236,7 @@
     if name.job.startswith("crash") and not name.position:
         return TaskPlan(1.0, QUICK, crashes_after=0.01)
     if name.job.startswith("last"):
-        return TaskPlan(LASTS, SERVING)
+        return TaskPlan(RUNS_FOREVER, SERVING)
     seconds = random.Random(str(name)).uniform(0.5, 1.5)
     if name.job.startswith("fill"):
         return TaskPlan(2.7 * seconds, Size(0, FILLING.memory, 0))
--- a/tests/test_absent_workers.py
+++ b/tests/test_absent_workers.py
@@ -12,8 +12,8 @@
 
 from pimentocross.owner.owner import Owner
 from pimentocross.standins.store import StoreStandin
-from pimentocross.standins.task_worker import LASTS, TaskPlan
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.task_worker import RUNS_FOREVER, TaskPlan
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.spec import JobSpec, Size, StepSpec, TaskName
 from tests.gateway_fixtures import STRONG, WEAK, Vm, VmCell
 from tests.owner_fixtures import (
@@ -35,14 +35,14 @@
 
 
 def _lasting(_: TaskName) -> TaskPlan:
-    return TaskPlan(LASTS, _SIZE)
+    return TaskPlan(RUNS_FOREVER, _SIZE)
 
 
 def _watch_spec() -> JobSpec:
     return spec(StepSpec(_TASKS, _SIZE, lasting=True))
 
 
-def _find_running(hall: WorkerHall) -> dict[TaskName, str]:
+def _find_running(hall: WorkerPool) -> dict[TaskName, str]:
     """Returns the worker ids of tasks that run on live workers."""
     found = {}
     for worker in hall.workers.values():
@@ -52,18 +52,18 @@
     return found
 
 
-def _all_running(hall: WorkerHall) -> bool:
+def _all_running(hall: WorkerPool) -> bool:
     return len(_find_running(hall)) == _TASKS
 
 
-def _remove_for_good(hall: WorkerHall, worker: str) -> None:
+def _remove_for_good(hall: WorkerPool, worker: str) -> None:
     """Ends a worker for good: it is unlisted and doesn't answer."""
     hall.workers[worker].crash()
     hall.workers[worker].faults.silent = True
     hall.unlisted.add(worker)
 
 
-async def _wait_all_running(hall: WorkerHall, since: float) -> None:
+async def _wait_all_running(hall: WorkerPool, since: float) -> None:
     """Waits until all tasks run, and checks the time since a worker left."""
     await wait_until(lambda: _all_running(hall), timeout=60.0)
     took = trio.current_time() - since
@@ -79,7 +79,7 @@
     return owners()[0]
 
 
-async def _submit(owner: Owner | None, hall: WorkerHall) -> None:
+async def _submit(owner: Owner | None, hall: WorkerPool) -> None:
     assert owner is not None
     await owner.job_api.submit(_JOB, QUEUE, _watch_spec())
     await wait_until(lambda: _all_running(hall))
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -33,7 +33,7 @@
 )
 from pimentocross.platform.callers import CallerHandler
 from pimentocross.standins.store import StoreStandin
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.spec import JobSpec
 from pimentocross.work.state import JobState
 from tests.gateway_fixtures import FixedConfig
@@ -92,7 +92,7 @@
 
 @asynccontextmanager
 async def _overloaded_owner(
-    store: StoreStandin, hall: WorkerHall
+    store: StoreStandin, hall: WorkerPool
 ) -> AsyncIterator[Owner]:
     """Runs an owner with completed work and a backlog of minutes."""
     async with running(make_owner(store, hall, 1, config=_CONFIG)) as owner:
--- a/tests/test_changing_capacity.py
+++ b/tests/test_changing_capacity.py
@@ -11,12 +11,12 @@
 from pimentocross.owner.owner import Owner
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import (
-    LASTS,
+    RUNS_FOREVER,
     RunEvent,
     TaskPlan,
     TaskWorkerStandin,
 )
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.queue import ServicePool
 from pimentocross.work.spec import Size, StepSpec, TaskName
 from pimentocross.work.state import JobState
@@ -54,14 +54,14 @@
     """Workers that don't enforce their capacity, and its changes over time."""
 
     def __init__(self, workers: int) -> None:
-        self.hall = WorkerHall()
+        self.hall = WorkerPool()
         self.changes: dict[str, list[_CapacityChange]] = {}
         for number in range(workers):
             listed = life(number)
             self.changes[listed.id] = [_CapacityChange(0.0, WORKER_CAPACITY)]
             self.hall.add(
                 TaskWorkerStandin(
-                    listed, _plan, self.hall.journal, guarded=False
+                    listed, _plan, self.hall.journal, enforces_capacity=False
                 )
             )
 
@@ -97,7 +97,7 @@
 
 def _plan(name: TaskName) -> TaskPlan:
     lasts = name.job.startswith("last")
-    return TaskPlan(LASTS if lasts else 1.0, SMALL)
+    return TaskPlan(RUNS_FOREVER if lasts else 1.0, SMALL)
 
 
 @asynccontextmanager
@@ -142,7 +142,7 @@
     assert not find_starts_after_success(cell.hall.journal)
 
 
-def _count_running_lasting(hall: WorkerHall) -> int:
+def _count_running_lasting(hall: WorkerPool) -> int:
     ends: Counter[str] = Counter()
     for event in hall.journal:
         if event.task.job == "last" and not event.what.startswith("noted"):
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -2,10 +2,10 @@
 
 from pimentocross.backing.workers import Resources
 from pimentocross.standins.checks import (
-    find_false_not_run,
-    find_over_commit,
-    find_served_twice,
-    find_two_places,
+    find_concurrent_runs,
+    find_duplicate_requests,
+    find_overcommitted_workers,
+    find_wrongly_refused,
     finished_tasks,
     read_runs,
 )
@@ -31,24 +31,24 @@
         _entry(5, "w0", _ENDED, "t", "lapsed"),
         _entry(4, "w1", _STARTED, "t"),
     ]
-    assert find_two_places(read_runs(entries, {}))
-    assert not find_two_places(read_runs(entries, {"w0": 3.0}))
+    assert find_concurrent_runs(read_runs(entries, {}))
+    assert not find_concurrent_runs(read_runs(entries, {"w0": 3.0}))
     entries[2] = entries[2]._replace(at=5.5)
-    assert not find_two_places(read_runs(entries, {}))
+    assert not find_concurrent_runs(read_runs(entries, {}))
 
 
 def test_over_commit_is_found() -> None:
     entries = [_entry(1, "w0", _STARTED, "t")]
-    assert find_over_commit(entries, Resources(8, 9, 0, 8))
-    assert not find_over_commit(entries, Resources(9, 9, 0, 8))
+    assert find_overcommitted_workers(entries, Resources(8, 9, 0, 8))
+    assert not find_overcommitted_workers(entries, Resources(9, 9, 0, 8))
 
 
 def test_orders_run_twice_and_false_refusals_are_found() -> None:
     served = _entry(1, "w0", JournalEvent.SERVED, "k")
-    assert not find_served_twice([served])
-    assert find_served_twice([served, served._replace(machine="w1")])
-    assert find_false_not_run([served], ["k"])
-    assert not find_false_not_run([served], ["other"])
+    assert not find_duplicate_requests([served])
+    assert find_duplicate_requests([served, served._replace(machine="w1")])
+    assert find_wrongly_refused([served], ["k"])
+    assert not find_wrongly_refused([served], ["other"])
 
 
 def test_finishes_are_counted() -> None:
--- a/tests/test_config_current.py
+++ b/tests/test_config_current.py
@@ -77,7 +77,7 @@
 
 async def _connections_silent(followed: FollowingVm, moment: float) -> None:
     await trio.sleep(moment)
-    followed.store.faults.silenced += 1
+    followed.store.faults.silence_count += 1
 
 
 def test_changes_after_any_faults_are_in_force_in_time() -> None:
@@ -98,7 +98,7 @@
                 elif kind == "refused":
                     faults.refused = {VM}
                 elif kind == "silent":
-                    faults.silenced += 1
+                    faults.silence_count += 1
                 else:
                     faults.delay = rng.uniform(0.05, 0.4)
                 await trio.sleep(rng.uniform(0.05, 5.0))
@@ -139,7 +139,7 @@
     """Concurrent reads of a copy that is too old share one request."""
     async with following_vm() as followed:
         follower, store = followed.follower, followed.store
-        store.faults.silenced += 1
+        store.faults.silence_count += 1
         await trio.sleep(0.95)
         version = await followed.publish()
         asked = store.calls
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -32,7 +32,7 @@
 from pimentocross.placement.urgency import DeadlineClass
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import RunEvent, TaskPlan
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.spec import Size, StepSpec, TaskName
 from pimentocross.work.state import JobState, Run, RunState, Step, Task
 from tests.owner_fixtures import (
@@ -229,7 +229,7 @@
 @asynccontextmanager
 async def _cell(
     plans: _Plans, store: StoreStandin | None = None
-) -> AsyncIterator[tuple[WorkerHall, Owner]]:
+) -> AsyncIterator[tuple[WorkerPool, Owner]]:
     """Runs an owner with a job whose first task is slow enough for a copy."""
     hall = make_hall(4, plans)
     seen = mock.patch.object(Durations, "has_stragglers", lambda *_: True)
@@ -242,7 +242,7 @@
             yield hall, owner
 
 
-def _events(hall: WorkerHall, run: int, *whats: str) -> list[RunEvent]:
+def _events(hall: WorkerPool, run: int, *whats: str) -> list[RunEvent]:
     """Returns the events of some kinds of a run of the long task."""
     return [
         event
@@ -257,11 +257,11 @@
     return lambda: owner.job_api.state("j").state is JobState.COMPLETED
 
 
-async def _wait_for_copy(hall: WorkerHall) -> None:
+async def _wait_for_copy(hall: WorkerPool) -> None:
     await wait_until(lambda: bool(_events(hall, 2, "start")))
 
 
-def _check_settled(hall: WorkerHall) -> None:
+def _check_settled(hall: WorkerPool) -> None:
     """Checks that no run is left or began after its task had ended."""
     for worker in hall.workers.values():
         assert worker.committed == Size(0, 0, 0)
--- a/tests/test_counted_anew.py
+++ b/tests/test_counted_anew.py
@@ -16,12 +16,12 @@
 from pimentocross.owner.owner import Owner
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import (
-    LASTS,
     NEVER,
+    RUNS_FOREVER,
     TaskPlan,
     TaskWorkerStandin,
 )
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.spec import Size, StepSpec, TaskName
 from pimentocross.work.state import JobState
 from tests.owner_fixtures import (
@@ -45,10 +45,10 @@
 
 
 def _lasting(_: TaskName) -> TaskPlan:
-    return TaskPlan(LASTS, SMALL)
+    return TaskPlan(RUNS_FOREVER, SMALL)
 
 
-def _worker_of(hall: WorkerHall, job: str) -> str:
+def _worker_of(hall: WorkerPool, job: str) -> str:
     """Returns a live worker that runs a task of a job, or "" if none does."""
     for worker in hall.workers.values():
         if not worker.dead:
@@ -61,7 +61,7 @@
 class _OwnerSeries:
     """Successive owners of one cell."""
 
-    def __init__(self, hall: WorkerHall) -> None:
+    def __init__(self, hall: WorkerPool) -> None:
         self.store = StoreStandin()
         self._hall = hall
         self._epoch = 0
@@ -88,7 +88,7 @@
 
 
 @asynccontextmanager
-async def _owning(hall: WorkerHall) -> AsyncIterator[_OwnerSeries]:
+async def _owning(hall: WorkerPool) -> AsyncIterator[_OwnerSeries]:
     """Starts a first owner. The last one is killed after the block."""
     owners = _OwnerSeries(hall)
     await owners.start_next()
@@ -99,7 +99,7 @@
         await owners.end()
 
 
-def _replace(hall: WorkerHall, worker: str, generation: int) -> None:
+def _replace(hall: WorkerPool, worker: str, generation: int) -> None:
     """Crashes a worker, whose VM has another life at once."""
     old = hall.workers.pop(worker)
     old.crash()
@@ -153,7 +153,7 @@
 
     def plan(name: TaskName) -> TaskPlan:
         if name.job != "suspect":
-            return TaskPlan(LASTS, _LARGE_SIZE)
+            return TaskPlan(RUNS_FOREVER, _LARGE_SIZE)
         starts[name.job] += 1
         after = 4.6 if starts[name.job] <= 3 else NEVER
         return TaskPlan(100.0, SMALL, crashes_after=after)
@@ -184,7 +184,7 @@
             assert took < 3 * _RUNNING_WITHIN, took
 
 
-def _count_listed(hall: WorkerHall, job: str) -> int:
+def _count_listed(hall: WorkerPool, job: str) -> int:
     """Returns how many tasks of a job run on live workers."""
     return sum(
         entry.task.job == job
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -18,17 +18,17 @@
 from pimentocross.owner.worker import Worker
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.supervisor import (
-    USUAL_DOWN_TIME,
+    DEFAULT_DOWN_TIME,
     DownTime,
     Supervisor,
 )
 from pimentocross.standins.task_worker import (
-    LASTS,
     NEVER,
+    RUNS_FOREVER,
     TaskPlan,
     TaskWorkerStandin,
 )
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.crash_history import (
     CRASHES_CLEARED_AFTER,
     NO_CRASHES,
@@ -76,7 +76,7 @@
     lasts = name.job.endswith("lasting")
     crashes = _CRASHES_AFTER.get(kind, NEVER) if not name.position else NEVER
     return TaskPlan(
-        LASTS if lasts else 1.5,
+        RUNS_FOREVER if lasts else 1.5,
         SMALL,
         crashes_after=crashes,
         alone=name.job.endswith("gang"),
@@ -86,12 +86,12 @@
 @asynccontextmanager
 async def _cell(
     workers: int,
-    down: DownTime = USUAL_DOWN_TIME,
+    down: DownTime = DEFAULT_DOWN_TIME,
     *,
     keeps_ids: bool = False,
-) -> AsyncIterator[WorkerHall]:
+) -> AsyncIterator[WorkerPool]:
     """Runs workers in racks. Crashed workers come back."""
-    hall = WorkerHall()
+    hall = WorkerPool()
     for number in range(workers):
         listed = life(number, rack=f"r{number // _RACK_SIZE}")
         hall.add(TaskWorkerStandin(listed, _plan, hall.journal, seed=number))
@@ -106,7 +106,7 @@
 @asynccontextmanager
 async def _owned_cell(
     workers: int, *, keeps_ids: bool = False
-) -> AsyncIterator[tuple[Owner, WorkerHall]]:
+) -> AsyncIterator[tuple[Owner, WorkerPool]]:
     """Runs an owner with the workers of `_cell`."""
     async with _cell(workers, keeps_ids=keeps_ids) as hall:
         async with running(make_owner(StoreStandin(), hall, 1)) as owner:
@@ -126,7 +126,7 @@
     return jobs
 
 
-def _check_journal(hall: WorkerHall) -> None:
+def _check_journal(hall: WorkerPool) -> None:
     assert not find_crash_loops(hall.journal)
     assert not find_overlapping_starts(hall.journal)
     assert not find_starts_after_success(hall.journal)
@@ -198,7 +198,7 @@
 
 
 async def _crash_rack(
-    hall: WorkerHall, after: float, draw: random.Random
+    hall: WorkerPool, after: float, draw: random.Random
 ) -> None:
     await trio.sleep(after)
     rack = f"r{draw.randrange(3)}"
@@ -326,7 +326,7 @@
     assert is_proven.call_count <= 32
 
 
-def _starts(hall: WorkerHall, job: str) -> int:
+def _starts(hall: WorkerPool, job: str) -> int:
     return sum(e.what == "start" and e.task.job == job for e in hall.journal)
 
 
--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -17,8 +17,8 @@
 from pimentocross.owner.worker_ends import WorkerEnds
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.supervisor import DownTime, Supervisor
-from pimentocross.standins.task_worker import LASTS, NEVER, TaskPlan
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.task_worker import NEVER, RUNS_FOREVER, TaskPlan
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.crash_history import OUTAGE_WINDOW, CrashHistory
 from pimentocross.work.records import (
     CRASHES,
@@ -49,14 +49,14 @@
 
 def _plan(name: TaskName) -> TaskPlan:
     return TaskPlan(
-        LASTS if name.job == "last" else 1.5,
+        RUNS_FOREVER if name.job == "last" else 1.5,
         SMALL,
         crashes_after=0.01 if name.job == _JOB else NEVER,
     )
 
 
 @asynccontextmanager
-async def _cell(down: float) -> AsyncIterator[tuple[StoreStandin, WorkerHall]]:
+async def _cell(down: float) -> AsyncIterator[tuple[StoreStandin, WorkerPool]]:
     """Runs workers that come back under new ids after `down` seconds."""
     hall = make_hall(4, _plan)
     async with trio.open_nursery() as nursery:
@@ -101,7 +101,7 @@
             await trio.sleep(0.2)
         assert await _history(store) == CrashHistory()
         async with running(make_owner(store, hall, 2)):
-            await wait_until(lambda: not hall.left_over, 12.0)
+            await wait_until(lambda: not hall.lingering_entries, 12.0)
             await trio.sleep(4.0)
             assert await _history(store) == CrashHistory(1, 1, 1, 0.0, 1)
 
@@ -113,7 +113,7 @@
             await wait_until(
                 lambda: owner.job_api.state(_JOB).state is JobState.FAILED
             )
-        assert hall.left_over
+        assert hall.lingering_entries
         before = decisions.counts()["worker_crashed"]
         async with running(make_owner(store, hall, 2)):
             await trio.sleep(6.0)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -16,12 +16,12 @@
 from pimentocross.owner.owner import Owner
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import (
-    LASTS,
+    RUNS_FOREVER,
     RunEvent,
     TaskPlan,
     TaskWorkerStandin,
 )
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.spec import StepSpec, TaskName
 from tests import run_virtual
 from tests.operator_fixtures import VM, FollowingVm, following_vm
@@ -48,9 +48,9 @@
 
 def _make_hall(
     plan: Callable[[TaskName], TaskPlan], each: int = 2
-) -> WorkerHall:
+) -> WorkerPool:
     """Returns a hall of workers, `each` in every zone."""
-    hall = WorkerHall()
+    hall = WorkerPool()
     for number in range(each * len(ZONES)):
         zone = ZONES[number % len(ZONES)]
         entry = life(number)._replace(zone=zone, labels=("kind", zone))
@@ -59,13 +59,13 @@
 
 
 def _make_owner(
-    store: StoreStandin, hall: WorkerHall, zones: ZoneAccess, epoch: int = 1
+    store: StoreStandin, hall: WorkerPool, zones: ZoneAccess, epoch: int = 1
 ) -> Owner:
     return make_owner(store, hall, epoch, vm=VM, zones=zones)
 
 
 def _starts_in(
-    hall: WorkerHall, zone: str, since: float, until: float = float("inf")
+    hall: WorkerPool, zone: str, since: float, until: float = float("inf")
 ) -> list[RunEvent]:
     """Returns the starts in a zone after `since` and up to `until`."""
     return [
@@ -77,7 +77,7 @@
     ]
 
 
-def _zone_of(hall: WorkerHall, event: RunEvent) -> str:
+def _zone_of(hall: WorkerPool, event: RunEvent) -> str:
     return hall.workers[event.worker].life.zone
 
 
@@ -86,7 +86,7 @@
 
 
 def _lasting_task(_: TaskName) -> TaskPlan:
-    return TaskPlan(LASTS, SMALL)
+    return TaskPlan(RUNS_FOREVER, SMALL)
 
 
 async def test_first_starts_leave_an_evacuated_zone_out() -> None:
@@ -179,7 +179,7 @@
 class _Cell:
     """Owners whose VM reads an operator's evacuations from the store."""
 
-    def __init__(self, followed: FollowingVm, hall: WorkerHall) -> None:
+    def __init__(self, followed: FollowingVm, hall: WorkerPool) -> None:
         self.followed = followed
         self.hall = hall
         self._epoch = 0
@@ -229,7 +229,7 @@
 
 
 async def _silent_store(followed: FollowingVm, moment: float) -> None:
-    followed.store.faults.silenced += 1
+    followed.store.faults.silence_count += 1
     await trio.lowlevel.checkpoint()
 
 
--- a/tests/test_failing_workers.py
+++ b/tests/test_failing_workers.py
@@ -19,7 +19,7 @@
 from pimentocross.placement.quarantine import Quarantine, QuarantineSettings
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import TaskPlan
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.spec import Size, StepSpec, TaskName
 from pimentocross.work.state import JobState
 from tests import run_virtual
@@ -44,7 +44,7 @@
 
 
 async def _run_wide_jobs(
-    hall: WorkerHall, states: list[JobState | None]
+    hall: WorkerPool, states: list[JobState | None]
 ) -> None:
     with mock.patch.object(wall, "now", trio.current_time):
         async with running(make_owner(StoreStandin(), hall, 1)) as owner:
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -16,8 +16,8 @@
 from pimentocross.platform.wire import WireError, read_worker
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import TaskWorkerStandin
-from pimentocross.standins.users_platform import server_entry
-from pimentocross.standins.worker_hall import HallAccess
+from pimentocross.standins.users_platform import worker_entry
+from pimentocross.standins.worker_pool import WorkerPoolAccess
 from pimentocross.work.spec import Size, StepSpec
 from tests import run_virtual
 from tests.owner_fixtures import (
@@ -32,7 +32,7 @@
 from tests.platform_fixtures import loopback_platform
 from tests.test_http import real_time
 
-_VALID = json.loads(server_entry(life(0)))
+_VALID = json.loads(worker_entry(life(0)))
 _ID = life(0).id
 # Changes to a valid entry, each of which makes it invalid.
 _INVALID_CHANGES: list[dict[str, object]] = [
@@ -76,8 +76,8 @@
     """Returns the listed ids after a value replaces a valid entry."""
     other = life(1)
     records = [
-        Record(_ID, server_entry(life(0))),
-        Record(other.id, server_entry(other)),
+        Record(_ID, worker_entry(life(0))),
+        Record(other.id, worker_entry(other)),
         Record(_ID, value),
     ]
     return [listed.id for listed in _listed(records)]
@@ -98,7 +98,7 @@
 
 
 def test_a_good_entry_after_a_broken_one_lists_the_worker_again() -> None:
-    good = Record(_ID, server_entry(life(0)))
+    good = Record(_ID, worker_entry(life(0)))
     listed = _listed([good, Record(_ID, b"null"), good])
     assert [found.id for found in listed] == [_ID]
 
@@ -184,16 +184,16 @@
     hall.add(TaskWorkerStandin(stranger, quick, hall.journal, seed=1))
 
     called: set[str] = set()
-    link = HallAccess.link
+    link = WorkerPoolAccess.link
 
-    def note_link(access: HallAccess, called_life: WorkerLife) -> object:
+    def note_link(access: WorkerPoolAccess, called_life: WorkerLife) -> object:
         called.add(called_life.id)
         return link(access, called_life)
 
     async def play() -> None:
         with (
             mock.patch.object(wall, "now", trio.current_time),
-            mock.patch.object(HallAccess, "link", note_link),
+            mock.patch.object(WorkerPoolAccess, "link", note_link),
         ):
             async with running(make_owner(StoreStandin(), hall, 1)) as owner:
                 step = StepSpec(4, Size(1000, 500, 0), 0.2)
--- a/tests/test_former_leases.py
+++ b/tests/test_former_leases.py
@@ -13,11 +13,11 @@
 from pimentocross.owner.owner import CellPlatform, Claim, Owner
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import (
-    LASTS,
+    RUNS_FOREVER,
     TaskPlan,
     TaskWorkerStandin,
 )
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work import records
 from pimentocross.work.spec import JobSpec, Size, StepSpec, TaskName
 from tests.gateway_fixtures import STRONG, WEAK, VmCell
@@ -43,14 +43,14 @@
 
 
 def _lasting(_: TaskName) -> TaskPlan:
-    return TaskPlan(LASTS, _SIZE)
+    return TaskPlan(RUNS_FOREVER, _SIZE)
 
 
 def _watch(tasks: int) -> JobSpec:
     return spec(StepSpec(tasks, _SIZE, lasting=True))
 
 
-def _check_never_twice(hall: WorkerHall) -> None:
+def _check_never_twice(hall: WorkerPool) -> None:
     for worker in hall.workers.values():
         worker.advance()
     journal = sorted(hall.journal, key=lambda e: (e.at, e.what == "start"))
@@ -68,7 +68,7 @@
     return records.decode_leases(values[-1] or b"")
 
 
-def _add_worker(hall: WorkerHall, number: int) -> None:
+def _add_worker(hall: WorkerPool, number: int) -> None:
     hall.add(
         TaskWorkerStandin(life(number), _lasting, hall.journal, seed=number)
     )
@@ -299,7 +299,7 @@
 
 
 async def _submit_and_bar(
-    owner: Owner, store: StoreStandin, hall: WorkerHall
+    owner: Owner, store: StoreStandin, hall: WorkerPool
 ) -> str:
     """Cuts off a worker with tasks until it is barred; returns its id."""
     await owner.job_api.submit("watch", QUEUE, _watch(6))
@@ -315,7 +315,7 @@
 
 
 def _partition(
-    hall: WorkerHall, alone: str, cut_off: str, others: Sequence[str]
+    hall: WorkerPool, alone: str, cut_off: str, others: Sequence[str]
 ) -> None:
     """Lets one VM reach only one worker, which no other VM reaches."""
     hall.access(alone)
@@ -326,14 +326,14 @@
         hall.cut[other].add(cut_off)
 
 
-def _remove_worker(hall: WorkerHall, worker: str) -> None:
+def _remove_worker(hall: WorkerPool, worker: str) -> None:
     """Ends a worker for good: removes its entry and lets no call answer."""
     hall.workers[worker].crash()
     hall.workers[worker].faults.silent = True
     hall.unlisted.add(worker)
 
 
-def _running_tasks(hall: WorkerHall, cut_off: str = "") -> dict[TaskName, str]:
+def _running_tasks(hall: WorkerPool, cut_off: str = "") -> dict[TaskName, str]:
     """Returns the workers of running tasks, except those on one worker."""
     return {
         entry.task: worker.life.id
@@ -343,5 +343,5 @@
     }
 
 
-def _first_used_worker(hall: WorkerHall) -> str:
+def _first_used_worker(hall: WorkerPool) -> str:
     return sorted(_running_tasks(hall).values())[0]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -34,7 +34,7 @@
 from pimentocross.owner.job_api import Outcome
 from pimentocross.owner.owner import CellPlatform
 from pimentocross.standins.store import StoreStandin
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.state import JobState
 from tests.gateway_fixtures import FixedConfig
 from tests.owner_fixtures import (
@@ -63,7 +63,7 @@
     """
 
     def __init__(
-        self, name: str, generation: int, store: StoreStandin, hall: WorkerHall
+        self, name: str, generation: int, store: StoreStandin, hall: WorkerPool
     ) -> None:
         process = f"{name}:{generation}"
         self.identity = PeerIdentity(process, name, "127.0.0.1:9", "z")
@@ -94,7 +94,7 @@
 
 @asynccontextmanager
 async def _vms(
-    count: int, store: StoreStandin, hall: WorkerHall
+    count: int, store: StoreStandin, hall: WorkerPool
 ) -> AsyncIterator[tuple[list[_Vm], dict[str, trio.CancelScope], trio.Nursery]]:
     scopes: dict[str, trio.CancelScope] = {}
     vms = [_Vm(f"vm{n}", 0, store, hall) for n in range(count)]
--- a/tests/test_given_up_starts.py
+++ b/tests/test_given_up_starts.py
@@ -4,7 +4,7 @@
 
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import (
-    LASTS,
+    RUNS_FOREVER,
     TaskPlan,
     TaskWorkerStandin,
 )
@@ -27,7 +27,7 @@
 
 
 def _lasting(_: TaskName) -> TaskPlan:
-    return TaskPlan(LASTS, SMALL)
+    return TaskPlan(RUNS_FOREVER, SMALL)
 
 
 async def test_a_start_that_was_given_up_is_not_sent() -> None:
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -15,8 +15,8 @@
 from pimentocross.owner.owner import Owner
 from pimentocross.platform.workers import HttpWorker
 from pimentocross.standins.store import StoreStandin
-from pimentocross.standins.task_worker import LASTS, TaskPlan
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.task_worker import RUNS_FOREVER, TaskPlan
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.spec import StepSpec, TaskName
 from pimentocross.work.state import JobState
 from tests.owner_fixtures import (
@@ -43,11 +43,11 @@
 
 
 def _plan(name: TaskName) -> TaskPlan:
-    return TaskPlan(LASTS if name.job.startswith("last") else 0.5, SMALL)
+    return TaskPlan(RUNS_FOREVER if name.job.startswith("last") else 0.5, SMALL)
 
 
 @contextmanager
-def _delay_orders(hall: WorkerHall) -> Iterator[None]:
+def _delay_orders(hall: WorkerPool) -> Iterator[None]:
     """Makes all workers leave orders unanswered and carry them out late."""
     for worker in hall.workers.values():
         worker.faults.late = 1.0
@@ -60,7 +60,7 @@
     return owner.job_api.state(job).state is JobState.COMPLETED
 
 
-def _check_journal(hall: WorkerHall) -> None:
+def _check_journal(hall: WorkerPool) -> None:
     assert not find_overlapping_starts(hall.journal), find_overlapping_starts(
         hall.journal
     )
@@ -69,7 +69,7 @@
     )
 
 
-async def _submit_unanswered(owner: Owner, hall: WorkerHall) -> float:
+async def _submit_unanswered(owner: Owner, hall: WorkerPool) -> float:
     """Submits a job whose start isn't answered; returns when it was sent."""
     # All workers have listed their runs, so only the start goes unanswered.
     await trio.sleep(0.5)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -23,12 +23,12 @@
 from pimentocross.placement.moves import Mover, move_candidate
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import (
-    LASTS,
+    RUNS_FOREVER,
     RunEvent,
     TaskPlan,
     TaskWorkerStandin,
 )
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work import records
 from pimentocross.work.spec import JobSpec, Size, StepSpec, TaskName
 from pimentocross.work.state import Job, Step
@@ -286,10 +286,10 @@
 def _plan(task: TaskName) -> TaskPlan:
     if task.job.startswith("fill"):
         return TaskPlan(1.0, Size(0, 500, 0))
-    return TaskPlan(LASTS, _SERVING_SIZE)
+    return TaskPlan(RUNS_FOREVER, _SERVING_SIZE)
 
 
-async def _run_cell(hall: WorkerHall) -> None:
+async def _run_cell(hall: WorkerPool) -> None:
     """Fills two workers with mixed serving tasks, then best-effort ones."""
     store = StoreStandin()
     learned = LearnedEstimates()
--- a/tests/test_lived_runs.py
+++ b/tests/test_lived_runs.py
@@ -6,7 +6,7 @@
 from pimentocross.owner.lived_runs import LivedRuns
 from pimentocross.owner.worker import Worker
 from pimentocross.standins.store import StoreStandin
-from pimentocross.standins.task_worker import LASTS, TaskPlan
+from pimentocross.standins.task_worker import RUNS_FOREVER, TaskPlan
 from pimentocross.work import records
 from pimentocross.work.crash_history import CrashHistory
 from pimentocross.work.records import LivedRunRow
@@ -29,7 +29,7 @@
 
 
 def _plan(_: TaskName) -> TaskPlan:
-    return TaskPlan(LASTS, SMALL)
+    return TaskPlan(RUNS_FOREVER, SMALL)
 
 
 def _restored_record(step: Step, worker: int) -> LivedRuns:
--- a/tests/test_new_workers.py
+++ b/tests/test_new_workers.py
@@ -16,12 +16,12 @@
 from pimentocross.placement.disturbance import PairEstimate
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import (
-    LASTS,
+    RUNS_FOREVER,
     RunEvent,
     TaskPlan,
     TaskWorkerStandin,
 )
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work import records
 from pimentocross.work.spec import Size, StepSpec, TaskName
 from tests import run_virtual
@@ -49,7 +49,7 @@
 def _plan(task: TaskName) -> TaskPlan:
     if task.job.startswith("fill"):
         return TaskPlan(_FILLER_SECONDS, Size(0, 500, 0))
-    return TaskPlan(LASTS, _SERVING_SIZE)
+    return TaskPlan(RUNS_FOREVER, _SERVING_SIZE)
 
 
 async def _submit_fillers(owner: Owner, sent: dict[str, float]) -> None:
@@ -68,7 +68,7 @@
         await trio.sleep(_ARRIVAL_INTERVAL)
 
 
-async def _run_load(hall: WorkerHall, sent: dict[str, float]) -> float:
+async def _run_load(hall: WorkerPool, sent: dict[str, float]) -> float:
     """Runs the load; returns when the new workers were added."""
     store, learned = StoreStandin(), LearnedEstimates()
     learned.disturbance.restore([PairEstimate("serves", "x", 0.0, 0.01)], 0.0)
--- a/tests/test_no_children.py
+++ b/tests/test_no_children.py
@@ -8,10 +8,10 @@
 _ROOT = Path(__file__).parent.parent
 _PROGRAM = _ROOT / "dist" / "pimentocross"
 # Fields of the kernel's figures of a process, counted from its state on.
-_FAULTS_OF_CHILDREN = 8
+_CHILD_MINOR_FAULTS_FIELD = 8
 
 
-def _faults_of_children(*command: str) -> int:
+def _child_page_faults(*command: str) -> int:
     """Returns page faults of the children that a program waited for.
 
     The kernel adds them up as each child ends, so that one which lived for a
@@ -26,28 +26,28 @@
         stderr=subprocess.DEVNULL,
     )
     os.waitid(os.P_PID, process.pid, os.WEXITED | os.WNOWAIT)
-    figures = Path(f"/proc/{process.pid}/stat").read_text()
+    stat = Path(f"/proc/{process.pid}/stat").read_text()
     process.wait()
-    return int(figures.rpartition(")")[2].split()[_FAULTS_OF_CHILDREN])
+    return int(stat.rpartition(")")[2].split()[_CHILD_MINOR_FAULTS_FIELD])
 
 
 def test_a_child_of_a_millisecond_is_seen() -> None:
     script = "import subprocess; subprocess.run(['true'])"
-    assert _faults_of_children(sys.executable, "-c", script)
+    assert _child_page_faults(sys.executable, "-c", script)
 
 
 def test_an_entry_vms_process_starts_no_other() -> None:
     # Without settings it ends as soon as it has imported everything.
     module = "pimentocross.platform"
-    assert not _faults_of_children(sys.executable, "-m", module)
+    assert not _child_page_faults(sys.executable, "-m", module)
 
 
 def test_the_program_starts_no_other() -> None:
     example = str(_ROOT / "examples" / "ostend")
     dev = ("dev", example, "--for=1s")
-    assert not _faults_of_children(sys.executable, "-m", "pimentocross", *dev)
+    assert not _child_page_faults(sys.executable, "-m", "pimentocross", *dev)
 
 
 def test_the_one_binary_starts_no_other() -> None:
     example = str(_ROOT / "examples" / "ostend")
-    assert not _faults_of_children(str(_PROGRAM), "dev", example, "--for=1s")
+    assert not _child_page_faults(str(_PROGRAM), "dev", example, "--for=1s")
--- a/tests/test_owner_chaos.py
+++ b/tests/test_owner_chaos.py
@@ -26,7 +26,7 @@
     TaskPlan,
     TaskWorkerStandin,
 )
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work import records
 from pimentocross.work.spec import TaskName
 from pimentocross.work.state import TERMINAL, JobState
@@ -89,7 +89,7 @@
         self._late_probability = 0.0 if evacuations else 0.1
         self.zones = ClosedZones()
         self.store = StoreStandin(seed)
-        self.hall: WorkerHall = make_hall(_WORKERS, self.plan)
+        self.hall: WorkerPool = make_hall(_WORKERS, self.plan)
         self.accepted: set[str] = set()
         self.generation = 0
         self._submitted = 0
--- a/tests/test_owner_steps.py
+++ b/tests/test_owner_steps.py
@@ -14,7 +14,7 @@
 from pimentocross.owner import wall
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import (
-    LASTS,
+    RUNS_FOREVER,
     TaskPlan,
     TaskWorkerStandin,
 )
@@ -67,7 +67,7 @@
     hall = make_hall(
         2,
         plan=lambda name: TaskPlan(
-            0.2 if name.job == "short" else LASTS, SMALL
+            0.2 if name.job == "short" else RUNS_FOREVER, SMALL
         ),
     )
     async with running(make_owner(store, hall, 1)) as owner:
@@ -170,7 +170,7 @@
 
 async def test_no_more_tasks_of_a_step_share_a_worker_than_allowed() -> None:
     store = StoreStandin()
-    hall = make_hall(3, plan=lambda _: TaskPlan(LASTS, SMALL))
+    hall = make_hall(3, plan=lambda _: TaskPlan(RUNS_FOREVER, SMALL))
     step = StepSpec(9, SMALL, lasting=True, per_worker=2)
     async with running(make_owner(store, hall, 1)) as owner:
         await owner.job_api.submit("w1", QUEUE, spec(step))
@@ -197,7 +197,7 @@
     None
 ):
     store = StoreStandin()
-    hall = make_hall(2, plan=lambda _: TaskPlan(LASTS, SMALL))
+    hall = make_hall(2, plan=lambda _: TaskPlan(RUNS_FOREVER, SMALL))
     step = StepSpec(4, SMALL, lasting=True)
     async with running(make_owner(store, hall, 1)) as owner:
         await owner.job_api.submit("w1", QUEUE, spec(step))
--- a/tests/test_pass_share.py
+++ b/tests/test_pass_share.py
@@ -16,7 +16,7 @@
 from pimentocross.owner.owner import Owner
 from pimentocross.owner.placer import Placer
 from pimentocross.standins.store import StoreStandin
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.spec import JobSpec, Size, StepSpec
 from pimentocross.work.state import Step
 from tests.owner_fixtures import (
@@ -49,7 +49,7 @@
 class _Cell:
     """An owner under test, its workers, and the seconds spent on placing."""
 
-    def __init__(self, owner: Owner, hall: WorkerHall) -> None:
+    def __init__(self, owner: Owner, hall: WorkerPool) -> None:
         self.owner = owner
         self.hall = hall
         self.placing_seconds = 0.0
@@ -143,7 +143,7 @@
 
 
 @contextmanager
-def _more_starts(hall: WorkerHall) -> Iterator[Callable[[], bool]]:
+def _more_starts(hall: WorkerPool) -> Iterator[Callable[[], bool]]:
     before = count(hall.journal, "start")
     yield lambda: count(hall.journal, "start") > before
 
--- a/tests/test_reclaim.py
+++ b/tests/test_reclaim.py
@@ -13,8 +13,8 @@
 from pimentocross.placement.moves import MoveCandidate, move_candidate
 from pimentocross.placement.reclaim import choose_evictions, task_limit
 from pimentocross.standins.store import StoreStandin
-from pimentocross.standins.task_worker import LASTS, TaskPlan
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.task_worker import RUNS_FOREVER, TaskPlan
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work import records
 from pimentocross.work.spec import Size, StepSpec, TaskName
 from pimentocross.work.state import Job, JobState, Task
@@ -93,10 +93,10 @@
         return TaskPlan(0.5, _SHORT)
     if task.job.startswith("fill"):
         return TaskPlan(0.5, Size(0, 500, 0))
-    return TaskPlan(LASTS, _LASTING)
+    return TaskPlan(RUNS_FOREVER, _LASTING)
 
 
-async def _run_short(hall: WorkerHall, in_time: list[bool]) -> None:
+async def _run_short(hall: WorkerPool, in_time: list[bool]) -> None:
     """Fills all workers with long-running tasks, then submits short jobs."""
     with mock.patch.object(wall, "now", trio.current_time):
         async with running(make_owner(StoreStandin(), hall, 1)) as owner:
@@ -116,7 +116,7 @@
     assert count(hall.journal, "lapsed") == 0
 
 
-def _count_short_in_time() -> tuple[int, WorkerHall]:
+def _count_short_in_time() -> tuple[int, WorkerPool]:
     # Eight workers of 8 cores, 7.6 of them reserved on each.
     hall = make_hall(8, _plan)
     in_time: list[bool] = []
@@ -142,7 +142,7 @@
     assert before == 0
 
 
-async def _run_pressure(hall: WorkerHall) -> None:
+async def _run_pressure(hall: WorkerPool) -> None:
     """Keeps more short tasks waiting than there is room for."""
     with mock.patch.object(wall, "now", trio.current_time):
         async with running(make_owner(StoreStandin(), hall, 1)) as owner:
@@ -167,7 +167,7 @@
     )
 
 
-async def _run_best_effort(hall: WorkerHall) -> None:
+async def _run_best_effort(hall: WorkerPool) -> None:
     """Submits more short steps than a pass considers, then best-effort ones."""
     config = CONFIG._replace(queues=(QUEUE, _BATCH))
     with mock.patch.object(wall, "now", trio.current_time):
@@ -195,7 +195,7 @@
     assert done.count("fill") == 3
 
 
-async def _run_excluded(hall: WorkerHall) -> None:
+async def _run_excluded(hall: WorkerPool) -> None:
     """Submits many steps of an excluded image, then one of another image."""
     store = StoreStandin()
     learned = LearnedEstimates()
@@ -263,7 +263,7 @@
     assert task_limit(270) > 100
 
 
-async def _run_overload(hall: WorkerHall, in_time: list[bool]) -> None:
+async def _run_overload(hall: WorkerPool, in_time: list[bool]) -> None:
     """Submits long-running tasks for twice the room, then short jobs."""
     with mock.patch.object(wall, "now", trio.current_time):
         async with running(make_owner(StoreStandin(), hall, 1)) as owner:
@@ -301,7 +301,7 @@
     assert count(hall.journal, "lapsed") == 0
 
 
-async def _run_take_over(hall: WorkerHall, in_time: list[bool]) -> None:
+async def _run_take_over(hall: WorkerPool, in_time: list[bool]) -> None:
     """Fills all workers, then submits short jobs to the next owner."""
     store = StoreStandin()
     with mock.patch.object(wall, "now", trio.current_time):
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -5,7 +5,7 @@
 from pimentocross.owner.ledger import Ledger
 from pimentocross.owner.resent_starts import ResentStarts
 from pimentocross.standins.store import StoreStandin
-from pimentocross.standins.task_worker import LASTS, TaskPlan
+from pimentocross.standins.task_worker import RUNS_FOREVER, TaskPlan
 from pimentocross.work import records
 from pimentocross.work.spec import StepSpec, TaskName
 from pimentocross.work.state import Run
@@ -26,7 +26,7 @@
 
 
 def _plan(_: TaskName) -> TaskPlan:
-    return TaskPlan(LASTS, SMALL)
+    return TaskPlan(RUNS_FOREVER, SMALL)
 
 
 def test_only_the_newest_former_owner_tells_what_was_sent_once() -> None:
--- a/tests/test_restarted_workers.py
+++ b/tests/test_restarted_workers.py
@@ -11,11 +11,11 @@
 from pimentocross.platform.wire import read_hold, read_worker
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import (
-    LASTS,
+    RUNS_FOREVER,
     TaskPlan,
     TaskWorkerStandin,
 )
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.spec import StepSpec, TaskName
 from pimentocross.work.state import TERMINAL, JobState
 from tests import run_virtual
@@ -38,13 +38,13 @@
 
 
 def _plan(name: TaskName) -> TaskPlan:
-    return TaskPlan(LASTS if name.job.startswith("last") else 0.6, SMALL)
+    return TaskPlan(RUNS_FOREVER if name.job.startswith("last") else 0.6, SMALL)
 
 
 @asynccontextmanager
 async def _run_cell(
     store: StoreStandin | None = None,
-) -> AsyncIterator[tuple[Owner, WorkerHall]]:
+) -> AsyncIterator[tuple[Owner, WorkerPool]]:
     hall = make_hall(_WORKERS, _plan)
     async with running(make_owner(store or StoreStandin(), hall, 1)) as owner:
         yield owner, hall
@@ -68,7 +68,7 @@
     )
 
 
-def _check_journal(hall: WorkerHall) -> None:
+def _check_journal(hall: WorkerPool) -> None:
     assert not find_overlapping_starts(hall.journal), find_overlapping_starts(
         hall.journal
     )[:3]
@@ -111,11 +111,11 @@
     async with _run_cell() as (owner, hall):
         jobs = await _submit_stream(owner, 0, 20)
         for life_id, worker in hall.workers.items():
-            hall.stale[life_id] = worker.life
+            hall.stale_entries[life_id] = worker.life
             worker.restart()
         jobs += await _submit_stream(owner, 20, 20)
         await _wait_done(owner, jobs, 5)
-        hall.stale.clear()
+        hall.stale_entries.clear()
         jobs += await _submit_stream(owner, 40, 20)
         await _wait_done(owner, jobs, 5)
         _check_journal(hall)
@@ -135,7 +135,7 @@
     _check_journal(hall)
 
 
-async def _restart_often(hall: WorkerHall, rng: random.Random) -> None:
+async def _restart_often(hall: WorkerPool, rng: random.Random) -> None:
     while True:
         await trio.sleep(rng.uniform(0.05, 1.0))
         worker = rng.choice(list(hall.workers.values()))
@@ -189,11 +189,11 @@
         hall = make_hall(1, _plan)
         worker: TaskWorkerStandin = next(iter(hall.workers.values()))
         born = worker.life.born
-        worker.take_hold(7, 0, None)
+        worker.handle_hold(7, 0, None)
         worker.restart()
         assert worker.life.born > born
         # A lower token is accepted again, and the clock starts at zero.
-        worker.take_hold(1, 0, None)
+        worker.handle_hold(1, 0, None)
         assert worker.listing().clock < 1.0
 
     run_virtual(play)
@@ -210,7 +210,7 @@
         worker.faults.lost = 1.0
         await trio.sleep(1.1)
         worker.faults.lost = 0.0
-        hall.stale[worker.life.id] = worker.life
+        hall.stale_entries[worker.life.id] = worker.life
         worker.restart()
         await owner.job_api.submit("job1", QUEUE, chain(8, 1))
         await _wait_done(owner, ["job1"], 5)
--- a/tests/test_silent_store.py
+++ b/tests/test_silent_store.py
@@ -141,7 +141,7 @@
     """The VM's read keeps waiting although the version is stored."""
     for step in range(10):
         async with _running_vms() as vms:
-            vms.store.faults.deaf = True
+            vms.store.faults.drop_read_notifications = True
             await trio.sleep(5.0 + step * 0.1)
             await vms.publish()
             await trio.sleep(0.2)
@@ -176,7 +176,7 @@
     None
 ):
     async with _running_vms() as vms:
-        vms.store.faults.deaf = True
+        vms.store.faults.drop_read_notifications = True
         await trio.sleep(5.0)
         await vms.publish()
         await vms.lag()
@@ -188,7 +188,7 @@
     """The operator writes the version just as the processes start."""
     async with trio.open_nursery() as nursery:
         vms = _Vms(nursery)
-        vms.store.faults.deaf = True
+        vms.store.faults.drop_read_notifications = True
         await trio.sleep(0.01)
         await vms.publish()
         assert await vms.lag() < _MAX_APPLY_LAG_WITHOUT_WAKE
@@ -213,7 +213,7 @@
     """Connections to the store go silent at different times of a succession."""
 
     def silence(faults: StoreFaults) -> None:
-        faults.silenced += 1
+        faults.silence_count += 1
 
     _check_succession(silence)
 
@@ -222,7 +222,7 @@
     """A VM that does not know of a claim rejects its owner as unknown."""
 
     def stop_waking(faults: StoreFaults) -> None:
-        faults.deaf = True
+        faults.drop_read_notifications = True
 
     _check_succession(stop_waking)
 
--- a/tests/test_starts_held.py
+++ b/tests/test_starts_held.py
@@ -11,8 +11,8 @@
 from pimentocross.owner.run_control import RunController
 from pimentocross.owner.worker import Worker
 from pimentocross.standins.store import StoreStandin
-from pimentocross.standins.task_worker import LASTS, TaskPlan
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.task_worker import RUNS_FOREVER, TaskPlan
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.spec import Size, StepSpec, TaskName
 from tests.owner_fixtures import (
     QUEUE,
@@ -44,7 +44,7 @@
 def _plan(task: TaskName) -> TaskPlan:
     if task.job.startswith("short"):
         return TaskPlan(0.5, _SHORT_SIZE)
-    return TaskPlan(LASTS, _LASTING_SIZE)
+    return TaskPlan(RUNS_FOREVER, _LASTING_SIZE)
 
 
 async def test_nothing_gives_way_whose_start_may_come_late() -> None:
@@ -61,7 +61,7 @@
     assert not find_starts_after_success(hall.journal)
 
 
-async def _simulate_unanswered(hall: WorkerHall) -> None:
+async def _simulate_unanswered(hall: WorkerPool) -> None:
     """Has one owner's starts go unanswered and puts load on its successor."""
     store = StoreStandin()
     watch = spec(StepSpec(8, _LASTING_SIZE, lasting=True))
--- a/tests/test_topics.py
+++ b/tests/test_topics.py
@@ -11,7 +11,7 @@
 from pimentocross.owner import const
 from pimentocross.platform.topics import WorkerTopic
 from pimentocross.standins.store import StoreStandin
-from pimentocross.standins.users_platform import server_entry
+from pimentocross.standins.users_platform import worker_entry
 from tests.owner_fixtures import life
 
 # Seconds after which a worker that announces its drain must get no more starts,
@@ -24,7 +24,7 @@
 
 
 def _entry(number: int) -> Record:
-    return Record(life(number).id, server_entry(life(number)))
+    return Record(life(number).id, worker_entry(life(number)))
 
 
 async def test_a_worker_whose_removal_has_expired_is_not_listed() -> None:
