--- a/pimentocross/standins/__init__.py
+++ b/pimentocross/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the platform and of targets, for tests and the demo."""
+"""In-memory fakes of the platform and of targets, for tests and the demo."""
--- a/pimentocross/standins/caller.py
+++ b/pimentocross/standins/caller.py
@@ -1,4 +1,4 @@
-"""A stand-in of callers: sends requests and jobs, checks the answers."""
+"""A fake caller: sends requests and jobs and verifies the responses."""
 
 from collections import Counter
 from enum import StrEnum
@@ -17,7 +17,7 @@
 
 
 class CallKind(StrEnum):
-    """How a call ended for its caller."""
+    """Result of a call as its caller sees it."""
 
     ANSWERED = "answered"
     MIXED_UP = "mixed up"
@@ -28,7 +28,7 @@
 
 
 class CallOutcome(NamedTuple):
-    """How a call ended, why, and how long it took in seconds."""
+    """Result of a call, the reason for it, and its duration in seconds."""
 
     kind: CallKind
     reason: str
@@ -36,15 +36,15 @@
 
 
 class CallerStandin:
-    """Callers behind a balancer that knows the entry VMs.
+    """Callers that reach the entry VMs through a load balancer.
 
     Attributes:
-        outcomes: Calls by how they ended and why.
-        latencies: Seconds of answered calls.
+        outcomes: Number of calls by result and reason.
+        latencies: Durations of answered calls, in seconds.
     """
 
     def __init__(self) -> None:
-        """Starts without connections."""
+        """Initializes the caller with an empty connection pool."""
         self.outcomes: Counter[tuple[str, str]] = Counter()
         self.latencies: list[float] = []
         self._pool = httpcore.AsyncConnectionPool(
@@ -86,7 +86,11 @@
         key: str,
         tasks: int = 1,
     ) -> str | None:
-        """Submits a job of so many seconds; its id once it is accepted."""
+        """Submits a job whose tasks take `seconds` each.
+
+        Returns:
+            The job's id, or None if the job was not accepted.
+        """
         task_input = msgspec.json.encode({"seconds": seconds}).decode()
         body = {"class": class_name, "input": task_input, "tasks": tasks}
         reply = await self._send(
@@ -104,7 +108,7 @@
         return str(msgspec.json.decode(reply.content)["job"])
 
     async def job_state(self, entry: str, job: str) -> str:
-        """Returns a job's state, or "" if nobody tells."""
+        """Returns a job's state, or "" if the entry VM did not report one."""
         url = f"http://{entry}/jobs/{job}"
         reply = await self._send("GET", url, [], b"", 5.0)
         if reply is None or reply.status != _OK:
--- a/pimentocross/standins/checks.py
+++ b/pimentocross/standins/checks.py
@@ -1,4 +1,4 @@
-"""Checks the promises against what workers and services noted themselves."""
+"""Checks the cluster's guarantees against the journals of its workers."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Mapping
@@ -12,7 +12,7 @@
 
 
 class Run(NamedTuple):
-    """One try of a task on a worker; `ended` is infinite while it runs."""
+    """One attempt of a task on a worker; `ended` is infinite while it runs."""
 
     task: str
     kind: str
@@ -27,11 +27,11 @@
 def read_runs(
     entries: Iterable[JournalEntry], killed_at: Mapping[str, float]
 ) -> list[Run]:
-    """Puts starts and ends together.
+    """Pairs the start and end entries of each run.
 
     Args:
-        entries: Of all workers.
-        killed_at: When worker processes died, by process id.
+        entries: Journal entries of all workers.
+        killed_at: Times at which worker processes were killed, by process id.
     """
     runs: dict[tuple[str, str, str], Run] = {}
     for entry in sorted(entries):
@@ -57,7 +57,7 @@
 
 
 def find_concurrent_runs(runs: Iterable[Run]) -> list[str]:
-    """Returns batch tasks and watches that ran in two places at once."""
+    """Returns batch tasks and watches that ran on two workers at once."""
     by_task: dict[str, list[Run]] = defaultdict(list)
     for run in runs:
         if run.kind in _EXCLUSIVE_KINDS:
@@ -80,7 +80,7 @@
 def find_overcommitted_workers(
     entries: Iterable[JournalEntry], capacity: Resources
 ) -> list[str]:
-    """Returns moments at which a worker ran more than it can carry."""
+    """Returns the times at which a worker's load exceeded its capacity."""
     violations = []
     for entry in entries:
         if entry.event is JournalEvent.SERVED:
@@ -107,7 +107,7 @@
 def find_wrongly_refused(
     entries: Iterable[JournalEntry], refused: Iterable[str]
 ) -> list[str]:
-    """Returns requests that were refused as "not run" and yet ran."""
+    """Returns requests that ran although they were refused as "not run"."""
     served = {
         entry.subject for entry in entries if entry.event is JournalEvent.SERVED
     }
@@ -117,7 +117,7 @@
 
 
 def finished_tasks(runs: Iterable[Run]) -> Counter[str]:
-    """Returns how often each task ran to its end."""
+    """Returns how many runs of each task finished."""
     return Counter(
         run.task for run in runs if run.state == TaskState.FINISHED.value
     )
--- a/pimentocross/standins/dev.py
+++ b/pimentocross/standins/dev.py
@@ -1,4 +1,4 @@
-"""Everything in one process: platform, workers, entry VMs and callers."""
+"""Runs the platform, workers, entry VMs and callers in one process."""
 
 from collections import Counter
 from collections.abc import AsyncIterator
@@ -47,7 +47,7 @@
 
 
 class WorkLine(NamedTuple):
-    """A batch class or watch in the report."""
+    """The report's line on a batch class or watch."""
 
     name: str
     kind: str
@@ -58,7 +58,7 @@
 
 
 class CallLine(NamedTuple):
-    """Calls that ended alike."""
+    """Number of calls with the same result and reason."""
 
     kind: str
     reason: str
@@ -66,7 +66,7 @@
 
 
 class DevReport(NamedTuple):
-    """What a run came to; `broken` lists promises that were not kept."""
+    """Results of a dev run; `broken` lists the violated guarantees."""
 
     latencies: list[Summary]
     work: list[WorkLine]
@@ -75,7 +75,7 @@
 
 
 class DevCluster(NamedTuple):
-    """All parts of a cluster in one process."""
+    """The components of a cluster that runs in one process."""
 
     config: Configuration
     log: LogStandin
@@ -87,10 +87,10 @@
 
 
 def free_port() -> int:
-    """Returns a port that is free now, and another one each time.
+    """Returns a free port that has not been returned before.
 
-    It lies below those that the system gives to outgoing connections, one of
-    which could take it before it is used.
+    The port is below the range that the system uses for outgoing connections,
+    so that no such connection can take it before the caller binds it.
     """
     while True:
         port = _port_rng.randrange(_FIRST_PORT, _LAST_PORT)
@@ -108,7 +108,7 @@
 async def run_dev(
     files: dict[str, str], config: Configuration, seconds: float
 ) -> DevReport:
-    """Runs a configuration for a while under sample traffic."""
+    """Runs a configuration under sample traffic for `seconds`."""
     async with open_dev_cluster(config) as cluster:
         await apply_files(cluster, files)
         await wait_services(cluster)
@@ -118,7 +118,7 @@
         async with trio.open_nursery() as nursery:
             with trio.move_on_after(seconds):
                 await _send_traffic(nursery, cluster, caller, jobs, refused)
-            # Requests on their way are answered before the stop.
+            # The nursery waits here until requests in flight are answered.
         await _wait_jobs(cluster, caller, jobs)
         return _report(cluster, caller, jobs, refused)
 
@@ -127,7 +127,7 @@
 async def open_dev_cluster(
     config: Configuration,
 ) -> AsyncIterator[DevCluster]:
-    """Starts the stand-ins and an entry VM in each availability zone."""
+    """Starts the stand-ins and one entry VM in each availability zone."""
     log = LogStandin()
     vms = VmListStandin()
     journal = Journal()
@@ -227,7 +227,7 @@
 
 
 async def apply_files(cluster: DevCluster, files: dict[str, str]) -> None:
-    """Publishes a configuration and waits until it is accepted."""
+    """Publishes configuration files and waits until they are accepted."""
     record = KINDS.encode(ConfigChanged(0, files, []))
     verdict = await cluster.entries[0].config.publish(record, timeout=10.0)
     assert verdict.accepted, verdict.reason
--- a/pimentocross/standins/direct.py
+++ b/pimentocross/standins/direct.py
@@ -1,4 +1,4 @@
-"""Links to stand-ins in the same process, without HTTP."""
+"""Links to worker stand-ins in the same process, without HTTP."""
 
 from pimentocross.backing.workers import (
     Exchange,
@@ -10,26 +10,26 @@
 
 
 class DirectDialer:
-    """Makes links to workers in this process, by their address."""
+    """Creates links to workers in this process by their address."""
 
     def __init__(self) -> None:
-        """Starts without workers."""
+        """Initializes the dialer without workers."""
         self.workers: dict[str, WorkerStandin] = {}
 
     def link(self, address: str) -> WorkerLink:
-        """Returns a link that looks the worker up at each exchange."""
+        """Returns a link that looks up the worker at each exchange."""
         return _DirectLink(self, address)
 
 
 class _DirectLink:
-    """A link to whatever worker stands at an address now."""
+    """A link to the worker that currently has an address."""
 
     def __init__(self, dialer: DirectDialer, address: str) -> None:
         self._dialer = dialer
         self._address = address
 
     async def exchange(self, request: Exchange) -> ExchangeReply:
-        """Sends commands; see `WorkerLink`."""
+        """Passes commands to the worker; see `WorkerLink`."""
         worker = self._dialer.workers.get(self._address)
         if worker is None:
             raise WorkerUnreachableError("no worker there")
--- a/pimentocross/standins/faults.py
+++ b/pimentocross/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in can be told to show."""
+"""Fault injection for the stand-ins."""
 
 import random
 from typing import NamedTuple
@@ -7,14 +7,15 @@
 
 
 class FaultPlan(NamedTuple):
-    """What goes wrong.
+    """The faults to inject.
 
     Attributes:
-        away: Refuse everything.
-        delay: Seconds added to each answer.
-        lose_replies: Share of operations that take effect unanswered.
+        away: Every operation is refused.
+        delay: Seconds by which each operation is delayed.
+        lose_replies: Share of operations that take effect but get no reply.
         lose_requests: Share of operations that never take effect.
-        silent: Answer nothing, ever: what comes in meanwhile is lost.
+        silent: Operations never get a reply; those received while this is set
+            are lost.
     """
 
     away: bool = False
@@ -25,23 +26,23 @@
 
 
 class FaultError(Exception):
-    """The stand-in fails as it was told to.
+    """An injected fault.
 
     Attributes:
         happened: True if the operation took effect.
     """
 
     def __init__(self, *, happened: bool) -> None:
-        """Notes whether the operation took effect."""
-        super().__init__("told to fail")
+        """Initializes the error."""
+        super().__init__("injected fault")
         self.happened = happened
 
 
 class Faults:
-    """The faults of one stand-in, drawn from a seeded generator."""
+    """Injects the faults of one stand-in, using a seeded generator."""
 
     def __init__(self, seed: int = 0) -> None:
-        """Starts without faults."""
+        """Initializes the injector without faults."""
         self.plan = FaultPlan()
         self._random = random.Random(seed)
 
@@ -49,7 +50,7 @@
         """Delays or refuses an operation before it takes effect.
 
         Raises:
-            FaultError: The operation did not happen.
+            FaultError: The operation did not take effect.
         """
         if self.plan.delay:
             await trio.sleep(self.plan.delay)
@@ -60,10 +61,10 @@
             raise FaultError(happened=False)
 
     def after(self) -> None:
-        """Loses the reply of an operation that took effect.
+        """Drops the reply of an operation that took effect, as planned.
 
         Raises:
-            FaultError: The operation happened.
+            FaultError: The reply is lost; the operation took effect.
         """
         if self._random.random() < self.plan.lose_replies:
             raise FaultError(happened=True)
--- a/pimentocross/standins/journal.py
+++ b/pimentocross/standins/journal.py
@@ -1,4 +1,4 @@
-"""What workers and services really did, noted by themselves for checks."""
+"""Journal of what workers and services executed, for later checks."""
 
 from collections.abc import Iterable
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 
 class JournalEvent(StrEnum):
-    """What happened."""
+    """Kind of a journal entry."""
 
     STARTED = "started"
     ENDED = "ended"
@@ -18,17 +18,17 @@
 
 
 class JournalEntry(NamedTuple):
-    """One event, on the machine's monotonic clock.
+    """One event, timed on the monotonic clock of the VM.
 
     Attributes:
-        at: Seconds; of a lapsed task, when its lease ended.
+        at: Time in seconds. A task that lapsed has the end of its lease here.
         machine: Name of the worker or target.
-        process: Id of its process.
-        event: What happened.
+        process: Id of the process of the worker or target.
+        event: Kind of the event.
         kind: The task's kind, or "request".
         subject: The task's id, or the request's key.
-        attempt: Which try, or the request's method.
-        detail: How a task ended, or which service answered.
+        attempt: The task's attempt, or the request's method.
+        detail: State in which a task ended, or name of the service.
         load: Processors and memory in use after the event.
     """
 
@@ -44,26 +44,30 @@
 
 
 class Journal:
-    """Entries in memory, and in a file if there is one."""
+    """Stores entries in a file if one is given, otherwise in memory."""
 
     def __init__(self, file: IO[bytes] | None = None) -> None:
-        """Takes a file opened for appending bytes, unbuffered."""
+        """Initializes the journal.
+
+        Args:
+            file: Unbuffered binary file opened for appending.
+        """
         self.entries: list[JournalEntry] = []
         self._file = file
 
     def note(self, entry: JournalEntry) -> None:
-        """Adds an entry whose time is on trio's clock."""
+        """Appends an entry whose time is on trio's clock."""
         if self._file is None:
             self.entries.append(entry)
             return
-        # trio's clock has another origin in each process.
+        # The origin of trio's clock differs between processes.
         shift = time.monotonic() - trio.current_time()
         shifted = entry._replace(at=entry.at + shift)
         self._file.write(msgspec.json.encode(shifted) + b"\n")
 
 
 def read_journal(lines: Iterable[bytes]) -> list[JournalEntry]:
-    """Reads entries back; a torn last line is passed over."""
+    """Parses journal lines; skips lines that were not written completely."""
     entries = []
     for line in lines:
         if line.endswith(b"\n"):
--- a/pimentocross/standins/log.py
+++ b/pimentocross/standins/log.py
@@ -1,4 +1,4 @@
-"""A stand-in of the log service, in memory."""
+"""An in-memory fake of the log service."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -31,7 +31,7 @@
 
 
 class _Stream:
-    """One stream's records that are still kept."""
+    """The records of one stream that have not expired."""
 
     def __init__(self) -> None:
         self.first_kept = 0
@@ -40,7 +40,7 @@
         self.appended = trio.Event()
 
     def append(self, bodies: Sequence[RecordBody]) -> int:
-        """Adds records; returns the first one's offset."""
+        """Appends records; returns the offset of the first one."""
         first = self.end
         now = trio.current_time()
         for body in bodies:
@@ -51,13 +51,13 @@
         return first
 
     def expire(self, before: float) -> None:
-        """Drops records older than a time."""
+        """Drops records that were appended before a time on trio's clock."""
         while self.kept and self.kept[0][0] < before:
             self.kept.popleft()
             self.first_kept += 1
 
     def page(self, start: int) -> ReadPage:
-        """Returns the records from an offset on."""
+        """Returns up to a page of records, beginning at an offset."""
         skip = max(start - self.first_kept, 0)
         stop = min(skip + _MAX_PAGE_RECORDS, len(self.kept))
         records = [self.kept[i][1] for i in range(skip, stop)]
@@ -65,15 +65,15 @@
 
 
 class LogStandin:
-    """Streams in memory; also a `LogService` for tests in one process.
+    """In-memory streams; implements `LogService` for in-process tests.
 
     Attributes:
-        faults: What it is told to show.
-        appends: Append operations done, by stream.
+        faults: The injected faults.
+        appends: Number of append operations carried out, by stream.
     """
 
     def __init__(self, retention: float = 3600.0, seed: int = 0) -> None:
-        """Takes how long records are kept, in seconds."""
+        """Initializes the log; `retention` is in seconds."""
         self.faults = Faults(seed)
         self.appends: dict[str, int] = {}
         self._retention = retention
@@ -87,7 +87,7 @@
             self.appends[stream] = self.appends.get(stream, 0) + 1
             self.faults.after()
         except FaultError as error:
-            # A client can't tell a lost request from a lost reply.
+            # A client cannot distinguish a lost request from a lost reply.
             sent = error.happened or not self.faults.plan.away
             raise LogUnavailableError(str(error), sent=sent) from error
         return first
@@ -106,7 +106,7 @@
         return kept.page(start)
 
     def records(self, stream: str) -> list[Record]:
-        """Returns all records kept, for checks."""
+        """Returns all unexpired records of a stream, for checks."""
         return [record for _, record in self._stream(stream).kept]
 
     def _stream(self, name: str) -> _Stream:
@@ -116,7 +116,7 @@
 
 
 def make_log_app(log: LogStandin) -> App:
-    """Returns the HTTP face of a log stand-in."""
+    """Returns an ASGI app that serves a log stand-in over HTTP."""
 
     async def answer(request: HttpRequest) -> HttpReply:
         if request.path == "/faults":
@@ -141,7 +141,7 @@
         try:
             reply = await answer(request)
         except LogUnavailableError:
-            reply = json_reply({"error": "told to fail"}, status=503)
+            reply = json_reply({"error": "injected fault"}, status=503)
         await send_reply(send, reply)
 
     return app
--- a/pimentocross/standins/service.py
+++ b/pimentocross/standins/service.py
@@ -1,4 +1,4 @@
-"""A stand-in of a service on a target: takes a while, echoes what it got."""
+"""A fake service on a target: waits, then echoes the request."""
 
 import random
 
@@ -31,12 +31,12 @@
 
 
 class ServiceStandin:
-    """Answers requests of any service that runs here.
+    """Answers the requests to all services that run on a target.
 
     Attributes:
-        faults: What it is told to show.
-        served: Requests that were run.
-        running: Names of the services that answer; None for all.
+        faults: The injected faults.
+        served: Number of requests that were executed.
+        running: Names of the services that answer, or None for all.
     """
 
     def __init__(
@@ -49,7 +49,16 @@
         slots: int = 8,
         seed: int = 0,
     ) -> None:
-        """Takes the mean service time in seconds and requests run at once."""
+        """Initializes the service.
+
+        Args:
+            name: Name of the target.
+            process: Id of the target's process.
+            journal: Journal in which executed requests are recorded.
+            service_time: Mean of the exponential service time, in seconds.
+            slots: Number of requests that run at once.
+            seed: Seed of the faults and service times.
+        """
         self.faults = Faults(seed)
         self.served = 0
         self.running: set[str] | None = None
@@ -61,7 +70,7 @@
         self._random = random.Random(seed)
 
     async def serve(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answers one request: the ASGI entry point."""
+        """Answers one request; the ASGI entry point."""
         try:
             request = await read_request(
                 scope, receive, body_most=_MAX_BODY_BYTES, timeout=30.0
@@ -117,7 +126,7 @@
 
 
 def make_service_app(service: ServiceStandin) -> App:
-    """Returns the HTTP face, with its faults under /-/faults."""
+    """Returns an ASGI app for the service; /-/faults sets its faults."""
 
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         if scope["path"] == "/-/faults":
