--- a/pimentocross/standins/store.py
+++ b/pimentocross/standins/store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the store of record logs, in memory, that fails as told."""
+"""An in-memory fake of the store of record logs, with fault injection."""
 
 from collections.abc import Sequence
 import random
@@ -17,31 +17,32 @@
     StoreUnavailableError,
 )
 
-# As many newest appends of a producer as are answered again.
+# Newest appends per producer whose answers are kept for repeated appends.
 _MAX_KEPT_ANSWERS = 5
 _MAX_SLEEP = 1e9
-# Connections that a client keeps beside those in use.
+# Idle connections that a client keeps open for reuse.
 _IDLE_CONNECTIONS = 3
 
 
 class StoreFaults:
-    """How the stand-in fails; may be changed at any time.
+    """The injected faults; may be changed at any time.
 
     Attributes:
-        away: Answers nobody.
-        refused: Clients that it turns away at once.
-        delay: Seconds that each answer takes.
-        lost: Share of appends that are done and not answered.
-        late: Share of appends that are done seconds later, unanswered.
-        silenced: How often all connections went silent: what waits on one then
-            is never answered, nor what is sent on one that was kept; new ones
-            work.
-        deaf: Reads that wait aren't told of what comes: they are answered once
-            their wait is over.
+        away: No call is answered.
+        refused: Names of clients whose calls are refused with status 503.
+        delay: Seconds by which each answer is delayed.
+        lost: Share of appends that are carried out but not answered.
+        late: Share of appends that are carried out seconds later and not
+            answered.
+        silence_count: Number of times that all open connections went silent.
+            Calls that wait on such a connection, or reuse an idle one, are
+            never answered; new connections work.
+        drop_read_notifications: Waiting reads are not woken by new records;
+            they are answered when their wait is over.
     """
 
     def __init__(self, seed: int = 0) -> None:
-        """Starts without faults."""
+        """Initializes the settings without faults."""
         self.away = False
         self.refused: set[str] = set()
         self.delay = 0.004
@@ -58,7 +59,7 @@
 
 
 class _Producer:
-    """What the store knows of a producer."""
+    """A producer's epoch, next sequence number and newest answers."""
 
     def __init__(self) -> None:
         self.epoch = -1
@@ -67,7 +68,7 @@
 
 
 class _Topic:
-    """A log and its producers."""
+    """A record log and its producers."""
 
     def __init__(self) -> None:
         self.records: list[Record] = []
@@ -76,7 +77,7 @@
         self.changed = trio.Event()
 
     def append(self, records: Sequence[Record]) -> int:
-        """Adds records; returns the first one's offset."""
+        """Appends records; returns the offset of the first one."""
         first = len(self.records)
         for record in records:
             self.records.append(record._replace(offset=len(self.records)))
@@ -86,15 +87,15 @@
 
 
 class StoreStandin:
-    """The store itself; `client` gives one VM's access to it.
+    """The store; `client` returns one VM's access to it.
 
     Attributes:
-        faults: How it fails.
-        calls: Calls that reached it.
+        faults: The injected faults.
+        calls: Number of accesses by clients; a read that waits counts twice.
     """
 
     def __init__(self, seed: int = 0) -> None:
-        """Starts empty."""
+        """Initializes an empty store."""
         self.faults = StoreFaults(seed)
         self.calls = 0
         self._topics: dict[str, _Topic] = {}
@@ -104,11 +105,11 @@
         return StoreClientStandin(self, name)
 
     def topic(self, name: str) -> _Topic:
-        """Returns a topic, made on first use."""
+        """Returns a topic, creating it on first use."""
         return self._topics.setdefault(name, _Topic())
 
     def forget_history(self, name: str) -> None:
-        """Drops all records of a topic but the newest of each key."""
+        """Expires a topic's present records for reads, not for `newest`."""
         topic = self.topic(name)
         topic.first = len(topic.records)
 
@@ -119,7 +120,13 @@
         at: int | None,
         mark: ProducerMark | None,
     ) -> int:
-        """Carries an append out."""
+        """Carries out an append, or returns the offset of a repeated one.
+
+        Raises:
+            ConditionFailedError: The topic does not end at offset `at`.
+            FencedError: The mark's epoch is older than the producer's.
+            SequenceGapError: The mark's sequence is not the next one.
+        """
         topic = self.topic(name)
         if mark is not None:
             repeated = _check_mark(topic, mark)
@@ -134,7 +141,7 @@
 
 
 def _check_mark(topic: _Topic, mark: ProducerMark) -> int | None:
-    """Returns the first answer of a repeated append, or None for a new one."""
+    """Returns the offset of a repeated append, or None for a new one."""
     producer = topic.producers.setdefault(mark.producer, _Producer())
     if mark.epoch < producer.epoch:
         raise FencedError
@@ -160,14 +167,14 @@
 
 
 class StoreClientStandin:
-    """One VM's access to the stand-in; see `Store`."""
+    """One VM's client of the stand-in; see `Store`."""
 
     def __init__(self, store: StoreStandin, name: str) -> None:
-        """Takes the store and the VM's name."""
+        """Initializes the client with the store and the VM's name."""
         self._store = store
         self._name = name
         self._seen_silence_count = store.faults.silence_count
-        # Kept connections that have gone silent.
+        # Number of idle connections that have gone silent.
         self._silent_connections = 0
 
     async def append(
@@ -180,7 +187,7 @@
         mark: ProducerMark | None = None,
         new_connection: bool = False,
     ) -> int:
-        """Appends records."""
+        """Appends records; see `Store`."""
         await self._connect(timeout, new_connection)
         faults = self._store.faults
         if faults.random.random() < faults.late:
@@ -202,7 +209,7 @@
         *,
         new_connection: bool = False,
     ) -> Page:
-        """Reads records."""
+        """Reads records, waiting for new ones; see `Store`."""
         asked_at = trio.current_time()
         silence_count = self._store.faults.silence_count
         await self._connect(timeout, new_connection)
@@ -223,7 +230,7 @@
     async def newest(
         self, topic: str, timeout: float, *, new_connection: bool = False
     ) -> Page:
-        """Returns the newest record of each key."""
+        """Returns the newest record of each key; see `Store`."""
         await self._connect(timeout, new_connection)
         found = self._store.topic(topic)
         newest = {record.key: record for record in found.records}
@@ -241,7 +248,7 @@
         try:
             self._store.append_now(topic, records, at, mark)
         except (ConditionFailedError, FencedError, SequenceGapError):
-            # Its condition holds no more.
+            # The condition of the append no longer holds.
             return
 
     async def _connect(self, timeout: float, new_connection: bool) -> None:
@@ -260,7 +267,7 @@
     async def _hang_if_silent(
         self, timeout: float, new_connection: bool
     ) -> None:
-        """Hangs if the call goes out on a kept connection that is silent."""
+        """Hangs if the call reuses an idle connection that has gone silent."""
         silence_count = self._store.faults.silence_count
         if silence_count != self._seen_silence_count:
             self._seen_silence_count, self._silent_connections = (
--- a/pimentocross/standins/supervisor.py
+++ b/pimentocross/standins/supervisor.py
@@ -1,4 +1,4 @@
-"""Starts stand-in workers again after a crash, as their machines do."""
+"""Restarts crashed stand-in workers, as their VMs do."""
 
 from collections.abc import Callable
 import random
@@ -10,14 +10,14 @@
 from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.spec import TaskName
 
-# A worker's entry is removed this long after its last report, in seconds.
+# Seconds after a worker's last report at which its entry is removed.
 _ENTRY_EXPIRY: Final = 4.5
-# How often crashes are looked for, seconds.
+# Seconds between checks for crashed workers.
 _POLL_INTERVAL: Final = 0.02
 
 
 class DownTime(NamedTuple):
-    """Bounds of the seconds for which a crashed worker is down."""
+    """Range, in seconds, of the time for which a crashed worker is down."""
 
     min_seconds: float = 1.0
     max_seconds: float = 3.0
@@ -27,10 +27,10 @@
 
 
 class Supervisor:
-    """Brings crashed workers back, under the id that they had or a new one.
+    """Restarts crashed workers, under their former id or a new one.
 
     Attributes:
-        crashes: Lives that have crashed.
+        crashes: Number of worker lives that have crashed.
     """
 
     def __init__(
@@ -42,7 +42,15 @@
         *,
         keeps_ids: bool = False,
     ) -> None:
-        """Takes the workers and how their tasks behave."""
+        """Initializes the supervisor.
+
+        Args:
+            pool: The workers to watch.
+            plan: Returns how a task behaves on restarted workers.
+            down: Range of the down time after a crash.
+            seed: Seed of the down times.
+            keeps_ids: Whether a worker restarts under its former id.
+        """
         self._keeps_ids = keeps_ids
         self.crashes = 0
         self._pool = pool
@@ -52,7 +60,7 @@
         self._random = random.Random(seed)
 
     async def run(self) -> None:
-        """Looks for crashed workers, for ever."""
+        """Restarts crashed workers until it is cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 for worker in list(self._pool.workers.values()):
@@ -68,13 +76,13 @@
         await trio.sleep(self._random.uniform(*self._down))
         self._restarting.discard(old)
         if not old.dead:
-            # Something else has started it again.
+            # Something else has restarted the worker.
             return
         if self._keeps_ids:
             old.restart()
             return
         if self._pool.workers.pop(old.life.id, None) is None:
-            # Its machine has another life already.
+            # The VM already runs another worker life.
             return
         life = old.life._replace(
             id=f"{old.life.machine}-again{self.crashes}",
--- a/pimentocross/standins/task_worker.py
+++ b/pimentocross/standins/task_worker.py
@@ -1,4 +1,4 @@
-"""A stand-in of a worker that runs tasks under a lease, in memory."""
+"""An in-memory fake of a worker that runs tasks under a lease."""
 
 from collections.abc import Callable
 import random
@@ -27,15 +27,16 @@
 
 
 class TaskPlan(NamedTuple):
-    """How a task behaves.
+    """The simulated behaviour of a task.
 
     Attributes:
-        seconds: How long it takes; `LASTS` for ever.
-        size: What it takes of the capacity.
-        fails: Whether it fails at its end.
-        crashes_after: Seconds after its start at which it crashes its worker,
-            or `NEVER`.
-        alone: Whether it ends as a member of a gang that never came together.
+        seconds: Run time in seconds, or `RUNS_FOREVER`.
+        size: Capacity that the task uses.
+        fails: Whether the task fails at its end.
+        crashes_after: Seconds after the start at which the task crashes its
+            worker, or `NEVER`.
+        alone: Whether the task ends with `GANG_ALONE`, as a member of a gang
+            whose other members never started.
     """
 
     seconds: float
@@ -46,7 +47,7 @@
 
 
 class RunEvent(NamedTuple):
-    """Something that happened to a run, for checks afterwards."""
+    """A journal entry on a run, for later checks."""
 
     at: float
     worker: str
@@ -56,18 +57,19 @@
 
 
 class WorkerFaults:
-    """How a worker fails; may be changed at any time.
+    """The faults of a worker; may be changed at any time.
 
     Attributes:
-        silent: Does not hear nor answer.
-        lost: Share of orders that are carried out and not answered.
-        late: Share of orders that are carried out seconds later, unanswered.
-        hangs: Lists tasks as running and does not work on them.
-        fails_all: Fails all that it starts.
+        silent: Calls neither arrive nor are answered.
+        lost: Share of orders that are carried out but not answered.
+        late: Share of orders that are carried out seconds later and not
+            answered.
+        hangs: Tasks are listed as running but make no progress.
+        fails_all: Every task that the worker starts fails.
     """
 
     def __init__(self, seed: int = 0) -> None:
-        """Starts without faults."""
+        """Initializes the settings without faults."""
         self.silent = False
         self.lost = 0.0
         self.late = 0.0
@@ -77,7 +79,7 @@
 
 
 class _Running:
-    """A run on the worker."""
+    """A run that is in progress on the worker."""
 
     def __init__(self, order: StartOrder, plan: TaskPlan, now: float) -> None:
         self.order = order
@@ -108,10 +110,11 @@
     """One life of a worker.
 
     Attributes:
-        life: As the directory lists it.
-        faults: How it fails.
-        dead: True once it has crashed.
-        down: True while nothing answers at its address after a crash.
+        life: The life as the worker directory lists it.
+        faults: The injected faults.
+        dead: True once this life has crashed.
+        down: True while connections to the worker's address are refused after
+            a crash.
     """
 
     def __init__(
@@ -123,7 +126,16 @@
         enforces_capacity: bool = True,
         seed: int = 0,
     ) -> None:
-        """Starts empty; `journal` takes what happens to runs."""
+        """Initializes a worker without runs.
+
+        Args:
+            life: The life as the worker directory lists it.
+            plan: Returns how a task behaves.
+            journal: List to which events of runs are appended.
+            enforces_capacity: Whether starts that exceed the capacity are
+                refused.
+            seed: Seed of the faults and of the clock's offset.
+        """
         self.life = life
         self.faults = WorkerFaults(seed)
         self.dead = False
@@ -147,23 +159,23 @@
 
     @property
     def committed(self) -> Size:
-        """What its runs take."""
+        """Total size of the current runs."""
         total = NO_SIZE
         for running in self._runs.values():
             total = total.plus(running.plan.size)
         return total
 
     def clock(self) -> float:
-        """Returns its clock."""
+        """Returns the worker's clock, in seconds."""
         return trio.current_time() + self._offset
 
     def crash(self) -> None:
-        """Ends this life and all that runs."""
+        """Ends this life and all its runs."""
         self._advance()
         self._drop_runs()
 
     def restart(self) -> None:
-        """Begins the next life under the same id, which knows nothing."""
+        """Begins a new life under the same id, without the former state."""
         if not self.dead:
             self.crash()
         now = trio.current_time()
@@ -173,7 +185,7 @@
         self.dead = self.down = False
 
     def advance(self) -> None:
-        """Brings it to the present time: ends runs, crashes if one says so."""
+        """Advances the simulation to now: ends runs and applies a due crash."""
         if not self.dead:
             self._advance()
 
@@ -185,20 +197,23 @@
         self.dead = True
 
     def next_change(self) -> float:
-        """Returns in how many seconds something here changes by itself."""
+        """Returns the seconds until the next end, crash or lease expiry."""
         now = self.clock()
         ends_at = [running.changes_at for running in self._runs.values()]
         return max(min([*ends_at, self._lease_end], default=now) - now, 0.0)
 
     def figure(self, plan: TaskPlan) -> int:
-        """Returns what a run is listed with; see `ListedRun`."""
+        """Returns the figure that a run reports; see `ListedRun`."""
         return 0
 
     def check_connected(self, born: int) -> None:
-        """Ends a call that a life had taken, if that life has ended.
+        """Checks that the life that accepted a call has not ended.
+
+        Args:
+            born: `born` of the life that accepted the call.
 
         Raises:
-            WorkerUnreachableError: It has.
+            WorkerUnreachableError: That life has ended.
         """
         if self.dead or self.life.born != born:
             raise WorkerUnreachableError("the connection was closed")
@@ -206,7 +221,14 @@
     def handle_hold(
         self, token: int, seen: int, deadline: float | None
     ) -> None:
-        """Takes a renewal in."""
+        """Handles a lease renewal.
+
+        Args:
+            token: Fencing token of the owner.
+            seen: Highest number of an ending that the owner has recorded.
+            deadline: New end of the lease on the worker's clock, or None to
+                leave it as it is.
+        """
         self._check_token(token)
         self._advance()
         for ending in self._endings:
@@ -218,7 +240,7 @@
             self._lapsed = False
 
     def listing(self) -> HoldReply:
-        """Returns what it lists."""
+        """Returns the worker's clock, runs and unacknowledged endings."""
         self._advance()
         now = self.clock()
         running = [
@@ -234,7 +256,7 @@
         return HoldReply(now, running, list(self._endings), self.life.born)
 
     def handle_start(self, order: StartOrder) -> StartVerdict:
-        """Starts a run, or says why not."""
+        """Starts a run, or returns the reason for refusing it."""
         self._check_token(order.token)
         self._advance()
         now = self.clock()
@@ -255,7 +277,7 @@
         return StartVerdict.STARTED
 
     def handle_stop(self, task: TaskName, run: int, token: int) -> None:
-        """Stops a run, or bars it."""
+        """Stops a run; bars it and earlier runs of the task from starting."""
         self._check_token(token)
         self._advance()
         self._barred[task] = max(self._barred.get(task, 0), run)
@@ -273,7 +295,7 @@
         self._token = token
 
     def _advance(self) -> None:
-        """Ends what has ended by now."""
+        """Applies the crashes, ends and lease expiry that are due by now."""
         now = self.clock()
         work_until = min(now, self._lease_end)
         for key, running in self._runs.items():
@@ -301,7 +323,7 @@
     def _end_run(
         self, task: TaskName, run: int, how: EndKind, clock: float
     ) -> None:
-        """Ends a run; `clock` is when it really ended."""
+        """Ends a run; `clock` is its end time on the worker's clock."""
         del self._runs[(task, run)]
         self._ending_count += 1
         self._endings.append(Ending(self._ending_count, task, run, how, ""))
@@ -310,10 +332,10 @@
         self._record_event(task, run, how.value, clock - self._offset)
 
     def _record_acknowledged(self, ending: Ending) -> None:
-        """Notes an ending whose record the owner has, unless it is void.
+        """Journals an ending that the owner has recorded, unless it is void.
 
-        A lease that lapsed before voids it: the task may have been started
-        elsewhere meanwhile.
+        An ending is void if the lease has lapsed since: the task may have been
+        started on another worker in the meantime.
         """
         if self._lapses_at_end[ending.number] == self._lapses:
             what = f"noted {ending.how.value}"
--- a/pimentocross/standins/users_platform.py
+++ b/pimentocross/standins/users_platform.py
@@ -1,7 +1,7 @@
-"""The users' platform on loopback: store and workers in its wire form.
+"""Serves the store and worker stand-ins in the users' platform's wire format.
 
-Serves the in-memory stand-ins over HTTP, so that the adapter, and whole
-processes, are tested against the published form without the users' bench.
+Tests of the adapter and of whole processes use these HTTP handlers on loopback
+to run against the published wire format without the users' test bench.
 """
 
 import base64
@@ -58,14 +58,14 @@
 
 
 class StoreHandler:
-    """The store's calls."""
+    """HTTP handler of the store's calls."""
 
     def __init__(self, store: StoreStandin) -> None:
-        """Takes the stand-in that carries them out."""
+        """Initializes the handler with the store that runs the calls."""
         self._client = store.client(_CLIENT_NAME)
 
     async def handle(self, request: HttpRequest) -> HttpReply:
-        """Answers one call."""
+        """Answers one HTTP request."""
         query = dict(parse_qsl(request.query.decode()))
         topic = query.get("topic", "").removeprefix(_KEYED_PREFIX)
         try:
@@ -142,14 +142,14 @@
 
 
 class WorkerHandler:
-    """One worker's calls."""
+    """HTTP handler of one worker's calls."""
 
     def __init__(self, worker: TaskWorkerStandin) -> None:
-        """Takes the stand-in that carries them out."""
+        """Initializes the handler with the worker that runs the calls."""
         self._worker = worker
 
     async def handle(self, request: HttpRequest) -> HttpReply:
-        """Answers one call."""
+        """Answers one HTTP request."""
         worker = self._worker
         if request.header(b"x-expected-instance") != worker.life.id:
             return json_reply({}, 421)
@@ -170,7 +170,7 @@
         except WorkerReplacedError:
             return json_reply({}, 421)
         except WorkerUnreachableError:
-            # It has crashed.
+            # The worker has crashed.
             return json_reply({}, 503)
         return json_reply({}, 404)
 
@@ -244,7 +244,7 @@
 
 
 def worker_entry(life: WorkerLife) -> bytes:
-    """Returns a worker's entry in the store."""
+    """Returns a worker's directory entry as the store holds it."""
     return msgspec.json.encode(
         {
             "backend": life.service,
@@ -268,7 +268,12 @@
 
 
 def operator_config(version: int, queues: Mapping[str, str]) -> bytes:
-    """Returns a configuration: prefixes of the queues, and their services."""
+    """Returns an operator's configuration in its stored form.
+
+    Args:
+        version: Version of the configuration.
+        queues: Service by path prefix of each queue.
+    """
     routes = [
         {
             "name": f"route{number}",
--- a/pimentocross/standins/vms.py
+++ b/pimentocross/standins/vms.py
@@ -1,4 +1,4 @@
-"""A stand-in of the VM list, which can lag."""
+"""A fake VM list that can lag behind."""
 
 from collections import deque
 
@@ -24,39 +24,39 @@
 
 
 class VmListStandin:
-    """The list as it was some seconds ago; also a `VmList` for tests.
+    """A VM list that is reported with a lag; implements `VmList`.
 
     Attributes:
-        faults: What it is told to show.
-        lag: Seconds by which the list is behind.
+        faults: The injected faults.
+        lag: Seconds by which the reported list is out of date.
     """
 
     def __init__(self, lag: float = 0.0) -> None:
-        """Takes the lag in seconds."""
+        """Initializes an empty list; `lag` is in seconds."""
         self.faults = Faults()
         self.lag = lag
         self._vms: dict[str, Vm] = {}
         self._history: deque[tuple[float, list[Vm]]] = deque()
 
     def put(self, vm: Vm) -> None:
-        """Lists a VM, in place of one of the same name."""
+        """Adds a VM, replacing one of the same name."""
         self._vms[vm.name] = vm
         self._record_snapshot()
 
     def remove(self, name: str) -> None:
-        """Drops a VM."""
+        """Removes a VM, if it is listed."""
         self._vms.pop(name, None)
         self._record_snapshot()
 
     def leave(self, name: str) -> None:
-        """Marks a VM as leaving."""
+        """Marks a listed VM as leaving."""
         if name in self._vms:
             vm = self._vms[name]
             self._vms[name] = vm._replace(state=VmState.LEAVING)
             self._record_snapshot()
 
     async def fetch(self) -> list[Vm]:
-        """Returns the list as it was; see `VmList`."""
+        """Returns the list as it was `lag` seconds ago; see `VmList`."""
         try:
             await self.faults.before()
         except FaultError as error:
@@ -74,7 +74,7 @@
 
 
 def make_vms_app(vms: VmListStandin) -> App:
-    """Returns the HTTP face of a VM list stand-in."""
+    """Returns an ASGI app that serves a VM list stand-in over HTTP."""
 
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         request = await read_request(
@@ -93,14 +93,14 @@
                 vms.remove(name)
             reply = _with_etag(json_reply(await vms.fetch()), request)
         except VmListUnavailableError:
-            reply = json_reply({"error": "told to fail"}, status=503)
+            reply = json_reply({"error": "injected fault"}, status=503)
         await send_reply(send, reply)
 
     return app
 
 
 def _with_etag(reply: HttpReply, request: HttpRequest) -> HttpReply:
-    """Leaves the body out if the other side has it already."""
+    """Adds an ETag; replies 304 if the requester has this version."""
     etag = xxhash.xxh3_64_hexdigest(reply.body)
     headers = [*reply.headers, (b"etag", etag.encode())]
     if request.header(b"if-none-match") == etag:
--- a/pimentocross/standins/worker.py
+++ b/pimentocross/standins/worker.py
@@ -1,4 +1,4 @@
-"""A stand-in of a worker: runs tasks under leases, reports with a lag."""
+"""A fake worker: runs tasks under leases and reports usage with a lag."""
 
 from collections import deque
 from collections.abc import AsyncIterator
@@ -53,14 +53,14 @@
 
 
 class WorkerShape(NamedTuple):
-    """A worker's name and size.
+    """Identity and capacity of a worker.
 
     Attributes:
-        name: Its name.
-        cell: The cell that it belongs to.
-        capacity: What it can carry.
-        connections: Connections that its service tasks accept.
-        usage_lag: Seconds by which usage reports are late.
+        name: Name of the worker.
+        cell: Cell to which the worker belongs.
+        capacity: Resources that tasks can use.
+        connections: Maximum connections to the service tasks.
+        usage_lag: Seconds by which usage reports are delayed.
     """
 
     name: str
@@ -74,18 +74,18 @@
     """One worker process.
 
     Attributes:
-        faults: Faults of its control listener.
-        usage_factor: What tasks use over what they were declared to.
+        faults: Injected faults of the control listener.
+        usage_factor: Ratio of the tasks' actual use to their declared size.
         fails_all: True if every batch task started here fails at once.
-        service: Answers for the service tasks that run here.
-        service_address: Where it does, as host:port.
-        leaving: True once it is to be emptied.
+        service: Answers the requests to the running service tasks.
+        service_address: Address of `service` as host:port.
+        leaving: True once the worker is to be drained.
     """
 
     def __init__(
         self, shape: WorkerShape, journal: Journal, service_time: float = 0.005
     ) -> None:
-        """Starts empty; `open_worker` runs it."""
+        """Initializes a worker without tasks; `open_worker` runs it."""
         self.faults = Faults()
         self.fails_all = False
         self.usage_factor = 1.0
@@ -111,17 +111,17 @@
 
     @property
     def shape(self) -> WorkerShape:
-        """Its name and size."""
+        """Identity and capacity of the worker."""
         return self._shape
 
     @property
     def incarnation(self) -> str:
-        """Id of this worker process."""
+        """Id of the worker process."""
         return self._incarnation
 
     @property
     def running(self) -> dict[str, TaskSpec]:
-        """Tasks that run now, by id."""
+        """Running tasks by id."""
         return {
             t.spec.task: t.spec
             for t in self._tasks.values()
@@ -130,14 +130,14 @@
 
     @property
     def load(self) -> Resources:
-        """What the running tasks may use."""
+        """Total declared size of the running tasks."""
         total = NO_RESOURCES
         for spec in self.running.values():
             total = total.plus(spec.size)
         return total
 
     async def run(self) -> None:
-        """Runs tasks, ends lapsed ones and measures usage, for ever."""
+        """Ends lapsed tasks and measures usage until it is cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             nursery.start_soon(self._measure_usage)
@@ -146,7 +146,7 @@
                 await trio.sleep(_REAP_INTERVAL)
 
     async def exchange(self, request: Exchange) -> ExchangeReply:
-        """Takes commands; see `WorkerLink`."""
+        """Carries out commands and reports; see `WorkerLink`."""
         try:
             await self.faults.before()
             self._end_lapsed()
@@ -233,7 +233,8 @@
         while not done:
             with trio.move_on_after(task.seconds_left) as scope:
                 await task.rate_changed.wait()
-            # Rounding may leave a rest that no clock can step through.
+            # Rounding may leave a remainder below the clock's resolution, so
+            # the timeout, not `seconds_left`, shows that the work is done.
             done = scope.cancelled_caught
 
     def _throttle(self, task: StandinTask | None, share: float) -> None:
@@ -343,7 +344,7 @@
 
 @asynccontextmanager
 async def open_worker(worker: WorkerStandin) -> AsyncIterator[WorkerStandin]:
-    """Runs a worker stand-in for as long as the block runs."""
+    """Runs a worker stand-in until the context exits."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(worker.run)
         await trio.lowlevel.checkpoint()
@@ -352,7 +353,7 @@
 
 
 def make_worker_app(worker: WorkerStandin, key: str) -> App:
-    """Returns the control listener; it wants the key."""
+    """Returns an ASGI app of the control listener, authorized by `key`."""
     expected = f"Bearer {key}".encode()
 
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
@@ -373,7 +374,7 @@
             refusal = {"refusal": error.refusal.value}
             reply = json_reply(refusal, status=409)
         except WorkerUnreachableError:
-            reply = json_reply({"error": "told to fail"}, status=503)
+            reply = json_reply({"error": "injected fault"}, status=503)
         await send_reply(send, reply)
 
     return app
--- a/pimentocross/standins/worker_pool.py
+++ b/pimentocross/standins/worker_pool.py
@@ -1,4 +1,4 @@
-"""Stand-in workers of a cell: their directory, and links to them, in memory."""
+"""In-memory fakes of a cell's workers, their directory and links to them."""
 
 from collections.abc import Callable
 
@@ -29,7 +29,7 @@
     """Access to a stand-in worker; see `WorkerLink`."""
 
     def __init__(self, worker: TaskWorkerStandin, cut: set[str]) -> None:
-        """Takes the worker, and lives that this VM can't reach."""
+        """Initializes a link with the lives that this VM cannot reach."""
         self._worker = worker
         self._cut = cut
 
@@ -41,7 +41,7 @@
         wait: float,
         timeout: float,
     ) -> HoldReply:
-        """Lists runs and endings."""
+        """Renews the lease; returns runs and endings, waiting for endings."""
         worker = self._worker
         await self._send_order(
             lambda: worker.handle_hold(token, seen, deadline), timeout
@@ -78,11 +78,11 @@
     async def pace(
         self, task: TaskName, run: int, percent: int, token: int, timeout: float
     ) -> None:
-        """Is not modelled."""
+        """Changes nothing: pacing is not simulated."""
         await self._send_order(lambda: None, timeout)
 
     async def aclose(self) -> None:
-        """Has nothing to close."""
+        """Does nothing: there is no connection to close."""
         await trio.lowlevel.checkpoint()
 
     def _unreachable(self) -> bool:
@@ -115,24 +115,25 @@
             WorkerReplacedError,
             WorkerUnreachableError,
         ):
-            # Nobody waits for the answer any more.
+            # The caller of the late order has already timed out.
             return
 
 
 class WorkerPool:
-    """All workers, their directory, and each VM's access to them.
+    """All workers of a cell and their directory.
 
     Attributes:
-        workers: Lives that the directory lists or did list, by id.
-        journal: What happened to runs.
-        cut: Lives that a VM can't reach, by VM.
-        directory_away: Whether the directory answers nobody.
-        left_over: Entries of lives that have ended, listed on for a while.
-        stale: Entries that the directory still has of these ids.
+        workers: Lives that the directory lists or has listed, by id.
+        unlisted: Ids of lives that the directory does not list.
+        journal: Events of runs on all workers.
+        cut: Ids of the lives that a VM cannot reach, by VM.
+        directory_away: Whether the directory is unavailable.
+        lingering_entries: Entries of ended lives that are still listed, by id.
+        stale_entries: Outdated entries that are listed for these ids.
     """
 
     def __init__(self) -> None:
-        """Starts empty."""
+        """Initializes a pool without workers."""
         self.workers: dict[str, TaskWorkerStandin] = {}
         self.unlisted: set[str] = set()
         self.journal: list[RunEvent] = []
@@ -142,11 +143,11 @@
         self.stale_entries: dict[str, WorkerLife] = {}
 
     def add(self, worker: TaskWorkerStandin) -> None:
-        """Lists a worker."""
+        """Adds a worker to the pool and its directory."""
         self.workers[worker.life.id] = worker
 
     def access(self, vm: str) -> "WorkerPoolAccess":
-        """Returns a VM's access: directory and dialer."""
+        """Returns a VM's access to the directory and the workers."""
         return WorkerPoolAccess(self, self.cut.setdefault(vm, set()))
 
 
@@ -159,7 +160,7 @@
         self._cut = cut
 
     async def poll(self, timeout: float) -> list[WorkerLife]:
-        """Returns all workers listed."""
+        """Returns the listed lives, including stale and lingering entries."""
         await trio.sleep(0.004)
         if self._pool.directory_away:
             raise StoreUnavailableError("directory away", sent=True)
@@ -171,7 +172,7 @@
         return [*living, *self._pool.lingering_entries.values()]
 
     def link(self, life: WorkerLife) -> TaskWorkerLink:
-        """Returns a link; to a life that never was, one that is silent."""
+        """Returns a link; an unknown life never answers."""
         worker = self._pool.workers.get(life.id)
         if worker is None:
             worker = TaskWorkerStandin(life, lambda _: TaskPlan(0.0), [])
--- a/pimentocross/standins/worker_task.py
+++ b/pimentocross/standins/worker_task.py
@@ -1,4 +1,4 @@
-"""A task on the stand-in of a worker."""
+"""A simulated task on a worker stand-in."""
 
 from typing import NamedTuple
 
@@ -13,16 +13,16 @@
 )
 
 _MIN_RATE = 0.01
-# A checkpoint is the share of the work done, times this.
+# A checkpoint is the finished share of the work, times this scale.
 _CHECKPOINT_SCALE = 1_000_000
 
 
 class TaskInput(NamedTuple):
-    """What the stand-in reads out of a batch task's input.
+    """The parameters in a batch task's input.
 
     Attributes:
-        seconds: How long the task takes alone, at full speed.
-        failure: A reason to fail with at the end, or "".
+        seconds: Run time of the task at full speed.
+        failure: Reason with which the task fails at its end, or "".
     """
 
     seconds: float = 1.0
@@ -30,10 +30,10 @@
 
 
 class StandinTask:
-    """One task here, running or ended."""
+    """One task on a worker, running or ended."""
 
     def __init__(self, spec: TaskSpec, lease_until: float) -> None:
-        """Begins to work at full speed."""
+        """Initializes a running task at full speed, resuming a checkpoint."""
         self.spec = spec
         self.state = TaskState.RUNNING
         self.lease_until = lease_until
@@ -49,17 +49,17 @@
 
     @property
     def failure(self) -> str:
-        """The reason with which it will fail, or ""."""
+        """Reason with which the task will fail, or ""."""
         return self._input.failure
 
     @property
     def seconds_left(self) -> float:
-        """How long it still takes at the present rate."""
+        """Remaining run time in seconds at the current rate."""
         return (self.seconds - self._done_seconds) / self._rate
 
     @property
     def checkpoint(self) -> str:
-        """Where the task could resume."""
+        """Checkpoint from which the task could resume, or ""."""
         if self.spec.kind is not TaskKind.BATCH or not self.seconds:
             return ""
         share = self._done_seconds / self.seconds
@@ -70,7 +70,7 @@
         return max(self.throttle, _MIN_RATE)
 
     def count_progress(self) -> None:
-        """Adds what was done since the last count, while it runs."""
+        """Adds the progress since the last call, if the task runs."""
         now = trio.current_time()
         if self.state is TaskState.RUNNING:
             done = self._done_seconds + (now - self._progress_at) * self._rate
@@ -78,7 +78,7 @@
         self._progress_at = now
 
     def report(self) -> TaskReport:
-        """Returns what the worker says of it."""
+        """Returns the worker's report on the task."""
         return TaskReport(
             self.spec, self.state, self.checkpoint, self.result, self.throttle
         )
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,4 +1,4 @@
-"""Tests: functions, gathered into one suite; fixtures are in `fixtures`."""
+"""Collects test functions into one suite; fixtures are in `fixtures`."""
 
 from collections.abc import Awaitable, Callable
 import importlib
@@ -20,7 +20,7 @@
     standard_tests: unittest.TestSuite,
     pattern: str | None,
 ) -> unittest.TestSuite:
-    """Gathers every test function of this package; see `unittest`."""
+    """Returns a suite of all test functions; see unittest's `load_tests`."""
     suite = unittest.TestSuite()
     for info in pkgutil.walk_packages(__path__, f"{__name__}."):
         if info.name.rpartition(".")[2].startswith(_PREFIX):
@@ -30,16 +30,16 @@
 
 
 def run_virtual(function: Callable[[], Awaitable[None]], seed: int = 0) -> None:
-    """Runs a test in virtual time, tasks in an order drawn from a seed."""
+    """Runs a test in virtual time, scheduling tasks in a seeded order."""
     seed_tasks(seed)
-    # The clock jumps whenever every task waits.
+    # The clock jumps to the next deadline whenever all tasks wait.
     trio.run(function, clock=MockClock(autojump_threshold=0))
 
 
 def seed_tasks(seed: int) -> None:
-    """Makes the order of tasks and random pauses in a run repeat itself."""
+    """Seeds the order of tasks and random pauses, to make runs repeatable."""
     random.seed(seed)
-    # trio shuffles runnable tasks by a generator of its own.
+    # trio shuffles runnable tasks with its own generator.
     trio_run._ALLOW_DETERMINISTIC_SCHEDULING = True  # type: ignore[attr-defined,misc,unused-ignore]
     trio_run._r = random.Random(seed)  # type: ignore[attr-defined,misc,unused-ignore]
 
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,4 +1,4 @@
-"""Runs every test, or those whose names hold the given words."""
+"""Runs all tests, or those whose names contain one of the given words."""
 
 from pathlib import Path
 import sys
@@ -8,21 +8,21 @@
 import tests
 
 _SLOW_SECONDS = 5.0
-# Tests that fail for a fault that is not mended yet: test, cause, issue.
+# Lists tests that fail because of an open fault: test, cause, issue.
 _KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 _MAX_KNOWN_RED = 3
 
 
 class _Result(unittest.TextTestResult):
-    """Prints a line for each test that is slow or does not pass."""
+    """A text result that also prints the name of each slow test."""
 
     def startTest(self, test: unittest.TestCase) -> None:  # noqa: N802
-        """Notes when the test began."""
+        """Records the start time of the test."""
         super().startTest(test)
         self._began = time.monotonic()
 
     def stopTest(self, test: unittest.TestCase) -> None:  # noqa: N802
-        """Names a slow test."""
+        """Prints the test's name if the test was slow."""
         super().stopTest(test)
         took = time.monotonic() - self._began
         if took > _SLOW_SECONDS:
@@ -30,7 +30,7 @@
 
 
 def _known_red() -> dict[str, str]:
-    """Returns the lines of the list of known failures, by test."""
+    """Returns the lines of the list of known failures by test name."""
     if not _KNOWN_RED.exists():
         return {}
     lines = _KNOWN_RED.read_text("utf-8").splitlines()
@@ -46,7 +46,7 @@
 
 
 def main() -> int:
-    """Runs the tests; returns the exit code."""
+    """Runs the selected tests and returns the exit code."""
     suite = tests.load_tests(
         unittest.defaultTestLoader, unittest.TestSuite(), None
     )
--- a/tests/random_faults.py
+++ b/tests/random_faults.py
@@ -1,4 +1,4 @@
-"""Random faults on a whole cluster, checked against a plain model.
+"""Injects random faults into a cluster and checks it against a model.
 
 `python -m tests.random_faults FIRST LAST` runs more seeds than CI does.
 """
@@ -18,7 +18,7 @@
 
 
 class _Model:
-    """What must be true, kept as plainly as possible."""
+    """A simple model of the expected state of jobs and configuration."""
 
     def __init__(self) -> None:
         self.accepted: set[str] = set()
@@ -27,7 +27,7 @@
         self.versions: dict[str, int] = {}
 
     def check(self, cluster: Cluster) -> None:
-        """Checks everything that has to hold at every moment."""
+        """Checks the invariants that hold at any time."""
         cluster.check()
         for node in cluster.nodes:
             version = node.config.state.version
@@ -38,10 +38,10 @@
 
 
 class RandomFaults:
-    """A cluster that suffers faults drawn from a seed."""
+    """Applies faults from a seeded generator to a cluster."""
 
     def __init__(self, cluster: Cluster, seed: int) -> None:
-        """Takes a cluster that runs."""
+        """Initializes the generator for a running cluster."""
         self._cluster = cluster
         self._rng = random.Random(seed)
         self._model = _Model()
@@ -50,7 +50,7 @@
         self._down: dict[str, str] = {}
 
     async def run(self) -> None:
-        """Brings faults for a while, mends all, and waits for the end."""
+        """Injects faults, clears them all, and waits for the jobs to end."""
         async with trio.open_nursery() as nursery:
             ends_at = trio.current_time() + _DURATION
             while trio.current_time() < ends_at:
@@ -182,13 +182,16 @@
             }
             raise AssertionError(f"not as expected: {wrong}") from None
         for job in model.accepted - model.cancelled:
-            # A try whose worker was out of reach for longer than all leases
-            # may have finished unrecorded; what counts is recorded once.
+            # An attempt on a worker that was unreachable for longer than all
+            # leases may finish unrecorded, so only recorded finishes count.
             assert count_finishes(cluster, job) == 1, job
 
 
 def count_finishes(cluster: Cluster, job: str) -> int:
-    """Counts a job's finishes in the log as a plain reader would."""
+    """Counts a job's finishes in the log, ignoring records that are void.
+
+    Repeated records and those of a superseded epoch are void.
+    """
     cell = job.partition(".")[0]
     epoch = finishes = 0
     seen: set[str] = set()
@@ -205,7 +208,7 @@
 
 
 def run_seed(seed: int) -> None:
-    """Runs one schedule of faults."""
+    """Runs the schedule of faults that a seed gives."""
 
     async def run() -> None:
         async with open_cluster(workers=2) as cluster:
@@ -215,7 +218,7 @@
 
 
 def main() -> None:
-    """Runs the seeds given."""
+    """Runs the seeds from FIRST up to, not including, LAST."""
     for seed in range(int(sys.argv[1]), int(sys.argv[2])):
         print(f"seed {seed}", flush=True)
         run_seed(seed)
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -1,4 +1,7 @@
-"""The checks of the promises can fail: each is shown what it is for."""
+"""Tests that each check of the cluster's guarantees detects a violation.
+
+A check that never fails would hide violations in all tests that rely on it.
+"""
 
 from pimentocross.backing.workers import Resources
 from pimentocross.standins.checks import (
--- a/tests/test_no_children.py
+++ b/tests/test_no_children.py
@@ -1,4 +1,8 @@
-"""No process of ours starts another, however short-lived."""
+"""Tests that no process of the software starts a child process.
+
+Children that end within milliseconds are detected too, by the page faults that
+the kernel adds to their parent.
+"""
 
 import os
 from pathlib import Path
@@ -7,15 +11,16 @@
 
 _ROOT = Path(__file__).parent.parent
 _PROGRAM = _ROOT / "dist" / "pimentocross"
-# Fields of the kernel's figures of a process, counted from its state on.
+# Index in /proc/PID/stat, counted from the state field (proc(5): cminflt).
 _CHILD_MINOR_FAULTS_FIELD = 8
 
 
 def _child_page_faults(*command: str) -> int:
-    """Returns page faults of the children that a program waited for.
+    """Returns the page faults of the children that a program waited for.
 
-    The kernel adds them up as each child ends, so that one which lived for a
-    millisecond is seen. The program has ended, and isn't reaped yet.
+    The kernel adds them when the program reaps a child, so that even a child
+    that ran for a millisecond counts. They are read after the program has
+    ended and before it is reaped.
     """
     process = subprocess.Popen(
         command,
@@ -37,7 +42,7 @@
 
 
 def test_an_entry_vms_process_starts_no_other() -> None:
-    # Without settings it ends as soon as it has imported everything.
+    # Without settings the process exits after its imports.
     module = "pimentocross.platform"
     assert not _child_page_faults(sys.executable, "-m", module)
 
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -1,9 +1,10 @@
-"""Random faults on a whole cluster, for a few fixed seeds."""
+"""Checks a cluster's invariants under random faults, for fixed seeds."""
 
 from tests.random_faults import run_seed
 
-# 6 showed "not run" said of a job that had been sent; 52 a second run after
-# a worker was out of reach; 144 starts under a lease that had lapsed.
+# Faults that these seeds found: 6, a job reported "not run" after it had been
+# sent; 52, a second run after a worker was unreachable; 144, starts under a
+# lease that had lapsed.
 _SEEDS = (0, 1, 6, 52, 144)
 
 
