--- a/pimentocross/standins/task_worker.py
+++ b/pimentocross/standins/task_worker.py
@@ -142,7 +142,7 @@
         self.down = False
         self._plan = plan
         self._journal = journal
-        self._guarded = enforces_capacity
+        self._enforces_capacity = enforces_capacity
         self._offset = random.Random(seed).uniform(0, 1000)
         self._reset()
 
@@ -199,8 +199,8 @@
     def next_change(self) -> float:
         """Returns the seconds until the next end, crash or lease expiry."""
         now = self.clock()
-        ends_at = [running.changes_at for running in self._runs.values()]
-        return max(min([*ends_at, self._lease_end], default=now) - now, 0.0)
+        changes = [running.changes_at for running in self._runs.values()]
+        return max(min([*changes, self._lease_end], default=now) - now, 0.0)
 
     def figure(self, plan: TaskPlan) -> int:
         """Returns the figure that a run reports; see `ListedRun`."""
@@ -268,7 +268,7 @@
             return StartVerdict.LATE
         plan = self._plan(order.task)
         free = self.life.capacity.minus(self.committed)
-        if self._guarded and not plan.size.fits_in(free):
+        if self._enforces_capacity and not plan.size.fits_in(free):
             return StartVerdict.NO_ROOM
         self._lease_end = max(self._lease_end, order.deadline)
         self._lapsed = False
