--- a/bench/rehearsal.py
+++ b/bench/rehearsal.py
@@ -19,10 +19,10 @@
 from pimentocross.config.load import read_folder
 from pimentocross.standins.caller import CallerStandin, CallKind
 from pimentocross.standins.checks import (
-    find_false_not_run,
-    find_over_commit,
-    find_served_twice,
-    find_two_places,
+    find_concurrent_runs,
+    find_duplicate_requests,
+    find_overcommitted_workers,
+    find_wrongly_refused,
     finished_tasks,
     read_runs,
 )
@@ -258,10 +258,12 @@
     journal = cluster.journal()
     process_ends = _processes_of(journal, killed)
     runs = read_runs(journal, process_ends)
-    violations = find_two_places(runs)
-    violations += find_over_commit(journal, cluster.config.workers.resources)
-    violations += find_served_twice(journal)
-    violations += find_false_not_run(journal, traffic.refused)
+    violations = find_concurrent_runs(runs)
+    violations += find_overcommitted_workers(
+        journal, cluster.config.workers.resources
+    )
+    violations += find_duplicate_requests(journal)
+    violations += find_wrongly_refused(journal, traffic.refused)
     violations += [
         f"job {job} is {state!r}" for job, state in unfinished.items()
     ]
--- a/pimentocross/standins/checks.py
+++ b/pimentocross/standins/checks.py
@@ -1,4 +1,4 @@
-"""Checks the promises against what workers and services noted themselves."""
+"""Checks the cluster's guarantees against the journals of its workers."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Mapping
@@ -7,12 +7,12 @@
 from pimentocross.backing.workers import Resources, TaskKind, TaskState
 from pimentocross.standins.journal import JournalEntry, JournalEvent
 
-_EXCLUSIVE = (TaskKind.BATCH.value, TaskKind.WATCH.value)
-_IDEMPOTENT = ("GET", "HEAD", "OPTIONS")
+_EXCLUSIVE_KINDS = (TaskKind.BATCH.value, TaskKind.WATCH.value)
+_IDEMPOTENT_METHODS = ("GET", "HEAD", "OPTIONS")
 
 
 class Run(NamedTuple):
-    """One try of a task on a worker; `ended` is infinite while it runs."""
+    """One attempt of a task on a worker; `ended` is infinite while it runs."""
 
     task: str
     kind: str
@@ -27,18 +27,18 @@
 def read_runs(
     entries: Iterable[JournalEntry], killed_at: Mapping[str, float]
 ) -> list[Run]:
-    """Puts starts and ends together.
+    """Pairs the start and end entries of each run.
 
     Args:
-        entries: Of all workers.
-        killed_at: When worker processes died, by process id.
+        entries: Journal entries of all workers.
+        killed_at: Times at which worker processes were killed, by process id.
     """
     runs: dict[tuple[str, str, str], Run] = {}
     for entry in sorted(entries):
-        where = (entry.process, entry.subject, entry.attempt)
+        run_key = (entry.process, entry.subject, entry.attempt)
         if entry.event is JournalEvent.STARTED:
             ended = killed_at.get(entry.process, float("inf"))
-            runs[where] = Run(
+            runs[run_key] = Run(
                 entry.subject,
                 entry.kind,
                 entry.machine,
@@ -48,62 +48,66 @@
                 ended,
                 "running",
             )
-        elif entry.event is JournalEvent.ENDED and where in runs:
-            ended = min(entry.at, runs[where].ended)
-            runs[where] = runs[where]._replace(ended=ended, state=entry.detail)
+        elif entry.event is JournalEvent.ENDED and run_key in runs:
+            ended = min(entry.at, runs[run_key].ended)
+            runs[run_key] = runs[run_key]._replace(
+                ended=ended, state=entry.detail
+            )
     return list(runs.values())
 
 
-def find_two_places(runs: Iterable[Run]) -> list[str]:
-    """Returns batch tasks and watches that ran in two places at once."""
+def find_concurrent_runs(runs: Iterable[Run]) -> list[str]:
+    """Returns batch tasks and watches that ran on two workers at once."""
     by_task: dict[str, list[Run]] = defaultdict(list)
     for run in runs:
-        if run.kind in _EXCLUSIVE:
+        if run.kind in _EXCLUSIVE_KINDS:
             by_task[run.task].append(run)
-    broken = []
+    violations = []
     for task, tries in by_task.items():
         tries.sort(key=lambda run: run.started)
         latest = tries[0]
         for run in tries[1:]:
             if run.started < latest.ended:
-                broken.append(
+                violations.append(
                     f"{task} ran on {run.machine} from {run.started:.3f} while"
                     f" {latest.machine} ran it until {latest.ended:.3f}"
                 )
             if run.ended > latest.ended:
                 latest = run
-    return broken
+    return violations
 
 
-def find_over_commit(
+def find_overcommitted_workers(
     entries: Iterable[JournalEntry], capacity: Resources
 ) -> list[str]:
-    """Returns moments at which a worker ran more than it can carry."""
-    broken = []
+    """Returns the times at which a worker's load exceeded its capacity."""
+    violations = []
     for entry in entries:
         if entry.event is JournalEvent.SERVED:
             continue
         processors, memory = entry.load
         if processors > capacity.processors or memory > capacity.memory:
-            broken.append(f"{entry.machine} carried {entry.load} at {entry.at}")
-    return broken
+            violations.append(
+                f"{entry.machine} carried {entry.load} at {entry.at}"
+            )
+    return violations
 
 
-def find_served_twice(entries: Iterable[JournalEntry]) -> list[str]:
+def find_duplicate_requests(entries: Iterable[JournalEntry]) -> list[str]:
     """Returns non-idempotent requests that ran more than once."""
     served = Counter(
         entry.subject
         for entry in entries
         if entry.event is JournalEvent.SERVED
-        and entry.attempt not in _IDEMPOTENT
+        and entry.attempt not in _IDEMPOTENT_METHODS
     )
     return [f"{key} ran {n} times" for key, n in served.items() if n > 1]
 
 
-def find_false_not_run(
+def find_wrongly_refused(
     entries: Iterable[JournalEntry], refused: Iterable[str]
 ) -> list[str]:
-    """Returns requests that were refused as "not run" and yet ran."""
+    """Returns requests that ran although they were refused as "not run"."""
     served = {
         entry.subject for entry in entries if entry.event is JournalEvent.SERVED
     }
@@ -113,7 +117,7 @@
 
 
 def finished_tasks(runs: Iterable[Run]) -> Counter[str]:
-    """Returns how often each task ran to its end."""
+    """Returns how many runs of each task finished."""
     return Counter(
         run.task for run in runs if run.state == TaskState.FINISHED.value
     )
--- a/pimentocross/standins/dev.py
+++ b/pimentocross/standins/dev.py
@@ -1,4 +1,4 @@
-"""Everything in one process: platform, workers, entry VMs and callers."""
+"""Runs the platform, workers, entry VMs and callers in one process."""
 
 from collections import Counter
 from collections.abc import AsyncIterator
@@ -20,10 +20,10 @@
 from pimentocross.observe.histograms import Histograms, Summary
 from pimentocross.standins.caller import CallerStandin, CallKind
 from pimentocross.standins.checks import (
-    find_false_not_run,
-    find_over_commit,
-    find_served_twice,
-    find_two_places,
+    find_concurrent_runs,
+    find_duplicate_requests,
+    find_overcommitted_workers,
+    find_wrongly_refused,
     finished_tasks,
     read_runs,
 )
@@ -38,16 +38,16 @@
 _CALL_INTERVAL = 0.02
 _JOB_INTERVAL = 0.25
 _JOB_SECONDS = 1.0
-_POST_SHARE = 0.1
-_SETTLE = 20.0
+_POST_PROBABILITY = 0.1
+_SETTLE_TIMEOUT = 20.0
 _FIRST_PORT = 15_000
 _LAST_PORT = 30_000
-_ports = random.SystemRandom()
-_ports_given: set[int] = set()
+_port_rng = random.SystemRandom()
+_issued_ports: set[int] = set()
 
 
 class WorkLine(NamedTuple):
-    """A batch class or watch in the report."""
+    """The report's line on a batch class or watch."""
 
     name: str
     kind: str
@@ -58,7 +58,7 @@
 
 
 class CallLine(NamedTuple):
-    """Calls that ended alike."""
+    """Number of calls with the same result and reason."""
 
     kind: str
     reason: str
@@ -66,7 +66,7 @@
 
 
 class DevReport(NamedTuple):
-    """What a run came to; `broken` lists promises that were not kept."""
+    """Results of a dev run; `broken` lists the violated guarantees."""
 
     latencies: list[Summary]
     work: list[WorkLine]
@@ -75,7 +75,7 @@
 
 
 class DevCluster(NamedTuple):
-    """All parts of a cluster in one process."""
+    """The components of a cluster that runs in one process."""
 
     config: Configuration
     log: LogStandin
@@ -87,28 +87,28 @@
 
 
 def free_port() -> int:
-    """Returns a port that is free now, and another one each time.
+    """Returns a free port that has not been returned before.
 
-    It lies below those that the system gives to outgoing connections, one of
-    which could take it before it is used.
+    The port is below the range that the system uses for outgoing connections,
+    so that no such connection can take it before the caller binds it.
     """
     while True:
-        port = _ports.randrange(_FIRST_PORT, _LAST_PORT)
-        if port in _ports_given:
+        port = _port_rng.randrange(_FIRST_PORT, _LAST_PORT)
+        if port in _issued_ports:
             continue
         with socket.socket() as probe:
             try:
                 probe.bind((_HOST, port))
             except OSError:
                 continue
-        _ports_given.add(port)
+        _issued_ports.add(port)
         return port
 
 
 async def run_dev(
     files: dict[str, str], config: Configuration, seconds: float
 ) -> DevReport:
-    """Runs a configuration for a while under sample traffic."""
+    """Runs a configuration under sample traffic for `seconds`."""
     async with open_dev_cluster(config) as cluster:
         await apply_files(cluster, files)
         await wait_services(cluster)
@@ -118,7 +118,7 @@
         async with trio.open_nursery() as nursery:
             with trio.move_on_after(seconds):
                 await _send_traffic(nursery, cluster, caller, jobs, refused)
-            # Requests on their way are answered before the stop.
+            # The nursery waits here until requests in flight are answered.
         await _wait_jobs(cluster, caller, jobs)
         return _report(cluster, caller, jobs, refused)
 
@@ -127,7 +127,7 @@
 async def open_dev_cluster(
     config: Configuration,
 ) -> AsyncIterator[DevCluster]:
-    """Starts the stand-ins and an entry VM in each availability zone."""
+    """Starts the stand-ins and one entry VM in each availability zone."""
     log = LogStandin()
     vms = VmListStandin()
     journal = Journal()
@@ -143,10 +143,10 @@
             entries: list[EntryNode] = []
             ports: list[Ports] = []
             for zone in config.zones:
-                settings = _settings(config, zone)
+                settings = _entry_settings(config, zone)
                 platform = Platform(log, vms, dialer)
                 node = EntryNode(settings, platform)
-                _list_entry(vms, node)
+                _register_entry(vms, node)
                 opened = await stack.enter_async_context(
                     open_entry(node, settings)
                 )
@@ -197,7 +197,7 @@
     )
 
 
-def _settings(config: Configuration, zone: str) -> EntrySettings:
+def _entry_settings(config: Configuration, zone: str) -> EntrySettings:
     return EntrySettings(
         f"entry-{zone}",
         zone,
@@ -211,7 +211,7 @@
     )
 
 
-def _list_entry(vms: VmListStandin, node: EntryNode) -> None:
+def _register_entry(vms: VmListStandin, node: EntryNode) -> None:
     local_identity = node.peers.local_identity
     vms.put(
         Vm(
@@ -227,7 +227,7 @@
 
 
 async def apply_files(cluster: DevCluster, files: dict[str, str]) -> None:
-    """Publishes a configuration and waits until it is accepted."""
+    """Publishes configuration files and waits until they are accepted."""
     record = KINDS.encode(ConfigChanged(0, files, []))
     verdict = await cluster.entries[0].config.publish(record, timeout=10.0)
     assert verdict.accepted, verdict.reason
@@ -235,7 +235,7 @@
 
 async def wait_services(cluster: DevCluster) -> None:
     """Waits until every entry VM knows a target of every service."""
-    with trio.move_on_after(_SETTLE):
+    with trio.move_on_after(_SETTLE_TIMEOUT):
         while not all(
             entry.target_registry.is_known(service)
             for entry in cluster.entries
@@ -251,32 +251,30 @@
     jobs: dict[str, str],
     refused: list[str],
 ) -> None:
-    draw = random.Random(1)
+    rng = random.Random(1)
     number = 0
     next_job = trio.current_time()
     while True:
         number += 1
-        nursery.start_soon(_call_once, cluster, caller, draw, number, refused)
+        nursery.start_soon(_call_once, cluster, caller, rng, number, refused)
         if cluster.config.batch and trio.current_time() >= next_job:
             next_job += _JOB_INTERVAL
-            nursery.start_soon(
-                _submit_once, cluster, caller, draw, number, jobs
-            )
+            nursery.start_soon(_submit_once, cluster, caller, rng, number, jobs)
         await trio.sleep(_CALL_INTERVAL)
 
 
 async def _call_once(
     cluster: DevCluster,
     caller: CallerStandin,
-    draw: random.Random,
+    rng: random.Random,
     number: int,
     refused: list[str],
 ) -> None:
-    service = draw.choice(sorted(cluster.config.services))
-    method = "POST" if draw.random() < _POST_SHARE else "GET"
+    service = rng.choice(sorted(cluster.config.services))
+    method = "POST" if rng.random() < _POST_PROBABILITY else "GET"
     key = f"call-{number}"
     outcome = await caller.call(
-        _entry_address(cluster, draw), service, method, f"/x/{number}", key, 5.0
+        _entry_address(cluster, rng), service, method, f"/x/{number}", key, 5.0
     )
     if outcome.kind is CallKind.NOT_RUN:
         refused.append(key)
@@ -285,27 +283,27 @@
 async def _submit_once(
     cluster: DevCluster,
     caller: CallerStandin,
-    draw: random.Random,
+    rng: random.Random,
     number: int,
     jobs: dict[str, str],
 ) -> None:
-    class_name = draw.choice(sorted(cluster.config.batch))
+    class_name = rng.choice(sorted(cluster.config.batch))
     job = await caller.submit(
-        _entry_address(cluster, draw), class_name, _JOB_SECONDS, f"job-{number}"
+        _entry_address(cluster, rng), class_name, _JOB_SECONDS, f"job-{number}"
     )
     if job is not None:
         jobs[job] = class_name
 
 
-def _entry_address(cluster: DevCluster, draw: random.Random) -> str:
-    return f"{_HOST}:{draw.choice(cluster.ports).caller}"
+def _entry_address(cluster: DevCluster, rng: random.Random) -> str:
+    return f"{_HOST}:{rng.choice(cluster.ports).caller}"
 
 
 async def _wait_jobs(
     cluster: DevCluster, caller: CallerStandin, jobs: dict[str, str]
 ) -> None:
     entry = f"{_HOST}:{cluster.ports[0].caller}"
-    with trio.move_on_after(_SETTLE):
+    with trio.move_on_after(_SETTLE_TIMEOUT):
         for job in jobs:
             while await caller.job_state(entry, job) != "finished":
                 await trio.sleep(0.2)
@@ -343,9 +341,11 @@
                 name, TaskKind.WATCH.value, watch.instances, 0, 0, running[name]
             )
         )
-    broken = find_two_places(runs) + find_served_twice(entries)
-    broken += find_over_commit(entries, cluster.config.workers.resources)
-    broken += find_false_not_run(entries, refused)
+    broken = find_concurrent_runs(runs) + find_duplicate_requests(entries)
+    broken += find_overcommitted_workers(
+        entries, cluster.config.workers.resources
+    )
+    broken += find_wrongly_refused(entries, refused)
     broken += _find_unfinished(work)
     if caller.outcomes[(CallKind.MIXED_UP.value, "")]:
         broken.append("an answer went to another caller")
--- a/pimentocross/standins/service.py
+++ b/pimentocross/standins/service.py
@@ -1,4 +1,4 @@
-"""A stand-in of a service on a target: takes a while, echoes what it got."""
+"""A fake service on a target: waits, then echoes the request."""
 
 import random
 
@@ -27,16 +27,16 @@
     JournalEvent,
 )
 
-_BODY_MOST = 16 * 1024 * 1024
+_MAX_BODY_BYTES = 16 * 1024 * 1024
 
 
 class ServiceStandin:
-    """Answers requests of any service that runs here.
+    """Answers the requests to all services that run on a target.
 
     Attributes:
-        faults: What it is told to show.
-        served: Requests that were run.
-        running: Names of the services that answer; None for all.
+        faults: The injected faults.
+        served: Number of requests that were executed.
+        running: Names of the services that answer, or None for all.
     """
 
     def __init__(
@@ -49,7 +49,16 @@
         slots: int = 8,
         seed: int = 0,
     ) -> None:
-        """Takes the mean service time in seconds and requests run at once."""
+        """Initializes the service.
+
+        Args:
+            name: Name of the target.
+            process: Id of the target's process.
+            journal: Journal in which executed requests are recorded.
+            service_time: Mean of the exponential service time, in seconds.
+            slots: Number of requests that run at once.
+            seed: Seed of the faults and service times.
+        """
         self.faults = Faults(seed)
         self.served = 0
         self.running: set[str] | None = None
@@ -61,10 +70,10 @@
         self._random = random.Random(seed)
 
     async def serve(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answers one request: the ASGI entry point."""
+        """Answers one request; the ASGI entry point."""
         try:
             request = await read_request(
-                scope, receive, max_body_bytes=_BODY_MOST, timeout=30.0
+                scope, receive, max_body_bytes=_MAX_BODY_BYTES, timeout=30.0
             )
         except CallerGoneError:
             return
@@ -77,7 +86,7 @@
         try:
             await self.faults.before()
             async with self._slots:
-                self._note(service, key, request.method)
+                self._record_request(service, key, request.method)
                 await trio.sleep(self._draw_service_time())
             self.faults.after()
         except FaultError:
@@ -99,7 +108,7 @@
             return 0.0
         return self._random.expovariate(1 / self._service_time)
 
-    def _note(self, service: str, key: str, method: str) -> None:
+    def _record_request(self, service: str, key: str, method: str) -> None:
         self.served += 1
         self._journal.note(
             JournalEntry(
@@ -117,12 +126,12 @@
 
 
 def make_service_app(service: ServiceStandin) -> App:
-    """Returns the HTTP face, with its faults under /-/faults."""
+    """Returns an ASGI app for the service; /-/faults sets its faults."""
 
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         if scope["path"] == "/-/faults":
             request = await read_request(
-                scope, receive, max_body_bytes=_BODY_MOST, timeout=10.0
+                scope, receive, max_body_bytes=_MAX_BODY_BYTES, timeout=10.0
             )
             plan = msgspec.json.decode(request.body)
             service.faults.plan = service.faults.plan._replace(**plan)
--- a/pimentocross/standins/supervisor.py
+++ b/pimentocross/standins/supervisor.py
@@ -1,4 +1,4 @@
-"""Starts stand-in workers again after a crash, as their machines do."""
+"""Restarts crashed stand-in workers, as their VMs do."""
 
 from collections.abc import Callable
 import random
@@ -7,60 +7,68 @@
 import trio
 
 from pimentocross.standins.task_worker import TaskPlan, TaskWorkerStandin
-from pimentocross.standins.worker_hall import WorkerHall
+from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.spec import TaskName
 
-# A worker's entry is removed this long after its last report, in seconds.
-_LISTED_FOR: Final = 4.5
-# How often crashes are looked for, seconds.
-_LOOK: Final = 0.02
+# Seconds after a worker's last report at which its entry is removed.
+_ENTRY_EXPIRY: Final = 4.5
+# Seconds between checks for crashed workers.
+_POLL_INTERVAL: Final = 0.02
 
 
 class DownTime(NamedTuple):
-    """Bounds of the seconds for which a crashed worker is down."""
+    """Range, in seconds, of the time for which a crashed worker is down."""
 
-    least: float = 1.0
-    most: float = 3.0
+    min_seconds: float = 1.0
+    max_seconds: float = 3.0
 
 
-USUAL_DOWN_TIME: Final = DownTime()
+DEFAULT_DOWN_TIME: Final = DownTime()
 
 
 class Supervisor:
-    """Brings crashed workers back, under the id that they had or a new one.
+    """Restarts crashed workers, under their former id or a new one.
 
     Attributes:
-        crashes: Lives that have crashed.
+        crashes: Number of worker lives that have crashed.
     """
 
     def __init__(
         self,
-        hall: WorkerHall,
+        pool: WorkerPool,
         plan: Callable[[TaskName], TaskPlan],
-        down: DownTime = USUAL_DOWN_TIME,
+        down: DownTime = DEFAULT_DOWN_TIME,
         seed: int = 0,
         *,
         keeps_ids: bool = False,
     ) -> None:
-        """Takes the workers and how their tasks behave."""
+        """Initializes the supervisor.
+
+        Args:
+            pool: The workers to watch.
+            plan: Returns how a task behaves on restarted workers.
+            down: Range of the down time after a crash.
+            seed: Seed of the down times.
+            keeps_ids: Whether a worker restarts under its former id.
+        """
         self._keeps_ids = keeps_ids
         self.crashes = 0
-        self._hall = hall
+        self._pool = pool
         self._restarting: set[TaskWorkerStandin] = set()
         self._plan = plan
         self._down = down
         self._random = random.Random(seed)
 
     async def run(self) -> None:
-        """Looks for crashed workers, for ever."""
+        """Restarts crashed workers until it is cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                for worker in list(self._hall.workers.values()):
+                for worker in list(self._pool.workers.values()):
                     worker.advance()
                     if worker.down and worker not in self._restarting:
                         self._restarting.add(worker)
                         nursery.start_soon(self._restart, worker)
-                await trio.sleep(_LOOK)
+                await trio.sleep(_POLL_INTERVAL)
 
     async def _restart(self, old: TaskWorkerStandin) -> None:
         self.crashes += 1
@@ -68,24 +76,24 @@
         await trio.sleep(self._random.uniform(*self._down))
         self._restarting.discard(old)
         if not old.dead:
-            # Something else has started it again.
+            # Something else has restarted the worker.
             return
         if self._keeps_ids:
             old.restart()
             return
-        if self._hall.workers.pop(old.life.id, None) is None:
-            # Its machine has another life already.
+        if self._pool.workers.pop(old.life.id, None) is None:
+            # The VM already runs another worker life.
             return
         life = old.life._replace(
             id=f"{old.life.machine}-again{self.crashes}",
             born=old.life.born + 1,
         )
         new = TaskWorkerStandin(
-            life, self._plan, self._hall.journal, seed=self.crashes
+            life, self._plan, self._pool.journal, seed=self.crashes
         )
-        self._hall.add(new)
+        self._pool.add(new)
         old.down = False
-        self._hall.left_over[old.life.id] = old.life
-        left = crashed_at + _LISTED_FOR - trio.current_time()
+        self._pool.lingering_entries[old.life.id] = old.life
+        left = crashed_at + _ENTRY_EXPIRY - trio.current_time()
         await trio.sleep(max(left, 0.0))
-        del self._hall.left_over[old.life.id]
+        del self._pool.lingering_entries[old.life.id]
--- a/pimentocross/standins/task_worker.py
+++ b/pimentocross/standins/task_worker.py
@@ -1,4 +1,4 @@
-"""A stand-in of a worker that runs tasks under a lease, in memory."""
+"""An in-memory fake of a worker that runs tasks under a lease."""
 
 from collections.abc import Callable
 import random
@@ -22,20 +22,21 @@
 
 _PERCENT = 100
 _MS = 1000
-LASTS = float("inf")
+RUNS_FOREVER = float("inf")
 NEVER = float("inf")
 
 
 class TaskPlan(NamedTuple):
-    """How a task behaves.
+    """The simulated behaviour of a task.
 
     Attributes:
-        seconds: How long it takes; `LASTS` for ever.
-        size: What it takes of the capacity.
-        fails: Whether it fails at its end.
-        crashes_after: Seconds after its start at which it crashes its worker,
-            or `NEVER`.
-        alone: Whether it ends as a member of a gang that never came together.
+        seconds: Run time in seconds, or `RUNS_FOREVER`.
+        size: Capacity that the task uses.
+        fails: Whether the task fails at its end.
+        crashes_after: Seconds after the start at which the task crashes its
+            worker, or `NEVER`.
+        alone: Whether the task ends with `GANG_ALONE`, as a member of a gang
+            whose other members never started.
     """
 
     seconds: float
@@ -46,7 +47,7 @@
 
 
 class RunEvent(NamedTuple):
-    """Something that happened to a run, for checks afterwards."""
+    """A journal entry on a run, for later checks."""
 
     at: float
     worker: str
@@ -56,18 +57,19 @@
 
 
 class WorkerFaults:
-    """How a worker fails; may be changed at any time.
+    """The faults of a worker; may be changed at any time.
 
     Attributes:
-        silent: Does not hear nor answer.
-        lost: Share of orders that are carried out and not answered.
-        late: Share of orders that are carried out seconds later, unanswered.
-        hangs: Lists tasks as running and does not work on them.
-        fails_all: Fails all that it starts.
+        silent: Calls neither arrive nor are answered.
+        lost: Share of orders that are carried out but not answered.
+        late: Share of orders that are carried out seconds later and not
+            answered.
+        hangs: Tasks are listed as running but make no progress.
+        fails_all: Every task that the worker starts fails.
     """
 
     def __init__(self, seed: int = 0) -> None:
-        """Starts without faults."""
+        """Initializes the settings without faults."""
         self.silent = False
         self.lost = 0.0
         self.late = 0.0
@@ -77,30 +79,30 @@
 
 
 class _Running:
-    """A run on the worker."""
+    """A run that is in progress on the worker."""
 
     def __init__(self, order: StartOrder, plan: TaskPlan, now: float) -> None:
         self.order = order
         self.plan = plan
-        self.began = now
+        self.started_at = now
         self.pace = _PERCENT
 
     @property
-    def ends(self) -> float:
-        return self.began + self.plan.seconds
+    def ends_at(self) -> float:
+        return self.started_at + self.plan.seconds
 
     @property
-    def crashes(self) -> float:
-        return self.began + self.plan.crashes_after
+    def crashes_at(self) -> float:
+        return self.started_at + self.plan.crashes_after
 
     @property
-    def changes(self) -> float:
-        return min(self.ends, self.crashes)
+    def changes_at(self) -> float:
+        return min(self.ends_at, self.crashes_at)
 
     def percent(self, now: float) -> int:
-        if self.plan.seconds == LASTS:
+        if self.plan.seconds == RUNS_FOREVER:
             return _PERCENT
-        done = (now - self.began) / max(self.plan.seconds, 0.001)
+        done = (now - self.started_at) / max(self.plan.seconds, 0.001)
         return min(int(done * _PERCENT), _PERCENT - 1)
 
 
@@ -108,10 +110,11 @@
     """One life of a worker.
 
     Attributes:
-        life: As the directory lists it.
-        faults: How it fails.
-        dead: True once it has crashed.
-        down: True while nothing answers at its address after a crash.
+        life: The life as the worker directory lists it.
+        faults: The injected faults.
+        dead: True once this life has crashed.
+        down: True while connections to the worker's address are refused after
+            a crash.
     """
 
     def __init__(
@@ -120,103 +123,124 @@
         plan: Callable[[TaskName], TaskPlan],
         journal: list[RunEvent],
         *,
-        guarded: bool = True,
+        enforces_capacity: bool = True,
         seed: int = 0,
     ) -> None:
-        """Starts empty; `journal` takes what happens to runs."""
+        """Initializes a worker without runs.
+
+        Args:
+            life: The life as the worker directory lists it.
+            plan: Returns how a task behaves.
+            journal: List to which events of runs are appended.
+            enforces_capacity: Whether starts that exceed the capacity are
+                refused.
+            seed: Seed of the faults and of the clock's offset.
+        """
         self.life = life
         self.faults = WorkerFaults(seed)
         self.dead = False
         self.down = False
         self._plan = plan
         self._journal = journal
-        self._guarded = guarded
+        self._enforces_capacity = enforces_capacity
         self._offset = random.Random(seed).uniform(0, 1000)
-        self._forget()
+        self._reset()
 
-    def _forget(self) -> None:
+    def _reset(self) -> None:
         self._token = 0
         self._lease_end = 0.0
         self._runs: dict[tuple[TaskName, int], _Running] = {}
         self._barred: dict[TaskName, int] = {}
         self._endings: list[Ending] = []
-        self._ended = 0
+        self._ending_count = 0
         self._lapsed = True
         self._lapses = 0
         self._lapses_at_end: dict[int, int] = {}
 
     @property
     def committed(self) -> Size:
-        """What its runs take."""
-        whole = NO_SIZE
+        """Total size of the current runs."""
+        total = NO_SIZE
         for running in self._runs.values():
-            whole = whole.plus(running.plan.size)
-        return whole
+            total = total.plus(running.plan.size)
+        return total
 
     def clock(self) -> float:
-        """Returns its clock."""
+        """Returns the worker's clock, in seconds."""
         return trio.current_time() + self._offset
 
     def crash(self) -> None:
-        """Ends this life and all that runs."""
+        """Ends this life and all its runs."""
         self._advance()
-        self._lose_runs()
+        self._drop_runs()
 
     def restart(self) -> None:
-        """Begins the next life under the same id, which knows nothing."""
+        """Begins a new life under the same id, without the former state."""
         if not self.dead:
             self.crash()
         now = trio.current_time()
         self.life = self.life._replace(born=self.life.born + 1 + int(now * _MS))
         self._offset = -now
-        self._forget()
+        self._reset()
         self.dead = self.down = False
 
     def advance(self) -> None:
-        """Brings it to the present time: ends runs, crashes if one says so."""
+        """Advances the simulation to now: ends runs and applies a due crash."""
         if not self.dead:
             self._advance()
 
-    def _lose_runs(self, culprit: tuple[TaskName, int] | None = None) -> None:
+    def _drop_runs(self, culprit: tuple[TaskName, int] | None = None) -> None:
         for task, run in list(self._runs):
             what = "crashed" if (task, run) == culprit else "lost"
-            self._note(task, run, what)
+            self._record_event(task, run, what)
         self._runs.clear()
         self.dead = True
 
     def next_change(self) -> float:
-        """Returns in how many seconds something here changes by itself."""
+        """Returns the seconds until the next end, crash or lease expiry."""
         now = self.clock()
-        ends = [running.changes for running in self._runs.values()]
-        return max(min([*ends, self._lease_end], default=now) - now, 0.0)
+        changes = [running.changes_at for running in self._runs.values()]
+        return max(min([*changes, self._lease_end], default=now) - now, 0.0)
 
     def figure(self, plan: TaskPlan) -> int:
-        """Returns what a run is listed with; see `ListedRun`."""
+        """Returns the figure that a run reports; see `ListedRun`."""
         return 0
 
     def check_connected(self, born: int) -> None:
-        """Ends a call that a life had taken, if that life has ended.
+        """Checks that the life that accepted a call has not ended.
+
+        Args:
+            born: `born` of the life that accepted the call.
 
         Raises:
-            WorkerUnreachableError: It has.
+            WorkerUnreachableError: That life has ended.
         """
         if self.dead or self.life.born != born:
             raise WorkerUnreachableError("the connection was closed")
 
-    def take_hold(self, token: int, seen: int, deadline: float | None) -> None:
-        """Takes a renewal in."""
-        self._check(token)
+    def handle_hold(
+        self, token: int, seen: int, deadline: float | None
+    ) -> None:
+        """Handles a lease renewal.
+
+        Args:
+            token: Fencing token of the owner.
+            seen: Highest number of an ending that the owner has recorded.
+            deadline: New end of the lease on the worker's clock, or None to
+                leave it as it is.
+        """
+        self._check_token(token)
         self._advance()
         for ending in self._endings:
             if ending.number <= seen:
-                self._take_note(ending)
+                self._record_acknowledged(ending)
         self._endings = [e for e in self._endings if e.number > seen]
         if deadline is not None:
             self._lease_end = max(self._lease_end, deadline)
             self._lapsed = False
 
     def listing(self) -> HoldReply:
-        """Returns what it lists."""
+        """Returns the worker's clock, runs and unacknowledged endings."""
         self._advance()
         now = self.clock()
         running = [
@@ -231,9 +255,9 @@
         ]
         return HoldReply(now, running, list(self._endings), self.life.born)
 
-    def take_start(self, order: StartOrder) -> StartVerdict:
-        """Starts a run, or says why not."""
-        self._check(order.token)
+    def handle_start(self, order: StartOrder) -> StartVerdict:
+        """Starts a run, or returns the reason for refusing it."""
+        self._check_token(order.token)
         self._advance()
         now = self.clock()
         if (order.task, order.run) in self._runs:
@@ -244,23 +268,23 @@
             return StartVerdict.LATE
         plan = self._plan(order.task)
         free = self.life.capacity.minus(self.committed)
-        if self._guarded and not plan.size.fits_in(free):
+        if self._enforces_capacity and not plan.size.fits_in(free):
             return StartVerdict.NO_ROOM
         self._lease_end = max(self._lease_end, order.deadline)
         self._lapsed = False
         self._runs[(order.task, order.run)] = _Running(order, plan, now)
-        self._note(order.task, order.run, "start")
+        self._record_event(order.task, order.run, "start")
         return StartVerdict.STARTED
 
-    def take_stop(self, task: TaskName, run: int, token: int) -> None:
-        """Stops a run, or bars it."""
-        self._check(token)
+    def handle_stop(self, task: TaskName, run: int, token: int) -> None:
+        """Stops a run; bars it and earlier runs of the task from starting."""
+        self._check_token(token)
         self._advance()
         self._barred[task] = max(self._barred.get(task, 0), run)
         if (task, run) in self._runs:
-            self._end(task, run, EndKind.STOPPED, self.clock())
+            self._end_run(task, run, EndKind.STOPPED, self.clock())
 
-    def _check(self, token: int) -> None:
+    def _check_token(self, token: int) -> None:
         self.advance()
         if self.down:
             raise WorkerUnreachableError("connection refused", sent=False)
@@ -271,51 +295,53 @@
         self._token = token
 
     def _advance(self) -> None:
-        """Ends what has ended by now."""
+        """Applies the crashes, ends and lease expiry that are due by now."""
         now = self.clock()
-        over = min(now, self._lease_end)
+        work_until = min(now, self._lease_end)
         for key, running in self._runs.items():
-            if running.crashes <= min(over, running.ends):
+            if running.crashes_at <= min(work_until, running.ends_at):
                 self.down = True
-                self._lose_runs(key)
+                self._drop_runs(key)
                 return
         for (task, run), running in list(self._runs.items()):
-            if not self.faults.hangs and running.ends <= over:
-                self._end(task, run, self._kind_of(running), running.ends)
+            if not self.faults.hangs and running.ends_at <= work_until:
+                self._end_run(
+                    task, run, self._end_kind(running), running.ends_at
+                )
         if now >= self._lease_end and not self._lapsed:
             self._lapsed = True
             self._lapses += 1
             for task, run in list(self._runs):
-                self._end(task, run, EndKind.LAPSED, self._lease_end)
+                self._end_run(task, run, EndKind.LAPSED, self._lease_end)
 
-    def _kind_of(self, running: _Running) -> EndKind:
+    def _end_kind(self, running: _Running) -> EndKind:
         if running.plan.alone:
             return EndKind.GANG_ALONE
         failed = running.plan.fails or self.faults.fails_all
         return EndKind.FAILED if failed else EndKind.DONE
 
-    def _end(
+    def _end_run(
         self, task: TaskName, run: int, how: EndKind, clock: float
     ) -> None:
-        """Ends a run; `clock` is when it really ended."""
+        """Ends a run; `clock` is its end time on the worker's clock."""
         del self._runs[(task, run)]
-        self._ended += 1
-        self._endings.append(Ending(self._ended, task, run, how, ""))
-        self._lapses_at_end[self._ended] = self._lapses
+        self._ending_count += 1
+        self._endings.append(Ending(self._ending_count, task, run, how, ""))
+        self._lapses_at_end[self._ending_count] = self._lapses
         self._barred[task] = max(self._barred.get(task, 0), run)
-        self._note(task, run, how.value, clock - self._offset)
+        self._record_event(task, run, how.value, clock - self._offset)
 
-    def _take_note(self, ending: Ending) -> None:
-        """Notes an ending whose record the owner has, unless it is void.
+    def _record_acknowledged(self, ending: Ending) -> None:
+        """Journals an ending that the owner has recorded, unless it is void.
 
-        A lease that lapsed before voids it: the task may have been started
-        elsewhere meanwhile.
+        An ending is void if the lease has lapsed since: the task may have been
+        started on another worker in the meantime.
         """
         if self._lapses_at_end[ending.number] == self._lapses:
             what = f"noted {ending.how.value}"
-            self._note(ending.task, ending.run, what)
+            self._record_event(ending.task, ending.run, what)
 
-    def _note(
+    def _record_event(
         self, task: TaskName, run: int, what: str, at: float | None = None
     ) -> None:
         when = trio.current_time() if at is None else at
--- a/pimentocross/standins/worker.py
+++ b/pimentocross/standins/worker.py
@@ -1,4 +1,4 @@
-"""A stand-in of a worker: runs tasks under leases, reports with a lag."""
+"""A fake worker: runs tasks under leases and reports usage with a lag."""
 
 from collections import deque
 from collections.abc import AsyncIterator
@@ -47,20 +47,20 @@
 from pimentocross.standins.service import ServiceStandin
 from pimentocross.standins.worker_task import StandinTask
 
-_BODY_MOST = 4 * 1024 * 1024
+_MAX_BODY_BYTES = 4 * 1024 * 1024
 _REAP_INTERVAL = 0.1
 _USAGE_INTERVAL = 1.0
 
 
 class WorkerShape(NamedTuple):
-    """A worker's name and size.
+    """Identity and capacity of a worker.
 
     Attributes:
-        name: Its name.
-        cell: The cell that it belongs to.
-        capacity: What it can carry.
-        connections: Connections that its service tasks accept.
-        usage_lag: Seconds by which usage reports are late.
+        name: Name of the worker.
+        cell: Cell to which the worker belongs.
+        capacity: Resources that tasks can use.
+        connections: Maximum connections to the service tasks.
+        usage_lag: Seconds by which usage reports are delayed.
     """
 
     name: str
@@ -74,18 +74,18 @@
     """One worker process.
 
     Attributes:
-        faults: Faults of its control listener.
-        usage_factor: What tasks use over what they were declared to.
+        faults: Injected faults of the control listener.
+        usage_factor: Ratio of the tasks' actual use to their declared size.
         fails_all: True if every batch task started here fails at once.
-        service: Answers for the service tasks that run here.
-        service_address: Where it does, as host:port.
-        leaving: True once it is to be emptied.
+        service: Answers the requests to the running service tasks.
+        service_address: Address of `service` as host:port.
+        leaving: True once the worker is to be drained.
     """
 
     def __init__(
         self, shape: WorkerShape, journal: Journal, service_time: float = 0.005
     ) -> None:
-        """Starts empty; `open_worker` runs it."""
+        """Initializes a worker without tasks; `open_worker` runs it."""
         self.faults = Faults()
         self.fails_all = False
         self.usage_factor = 1.0
@@ -97,7 +97,7 @@
         self._epoch = 0
         self._sequence = -1
         self._tasks: dict[str, StandinTask] = {}
-        self._change = 0
+        self._change_count = 0
         self._usage: deque[Usage] = deque()
         self._nursery: trio.Nursery | None = None
         self.service = ServiceStandin(
@@ -111,17 +111,17 @@
 
     @property
     def shape(self) -> WorkerShape:
-        """Its name and size."""
+        """Identity and capacity of the worker."""
         return self._shape
 
     @property
     def incarnation(self) -> str:
-        """Id of this worker process."""
+        """Id of the worker process."""
         return self._incarnation
 
     @property
     def running(self) -> dict[str, TaskSpec]:
-        """Tasks that run now, by id."""
+        """Running tasks by id."""
         return {
             t.spec.task: t.spec
             for t in self._tasks.values()
@@ -130,14 +130,14 @@
 
     @property
     def load(self) -> Resources:
-        """What the running tasks may use."""
+        """Total declared size of the running tasks."""
         total = NO_RESOURCES
         for spec in self.running.values():
             total = total.plus(spec.size)
         return total
 
     async def run(self) -> None:
-        """Runs tasks, ends lapsed ones and measures usage, for ever."""
+        """Ends lapsed tasks and measures usage until it is cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             nursery.start_soon(self._measure_usage)
@@ -146,12 +146,12 @@
                 await trio.sleep(_REAP_INTERVAL)
 
     async def exchange(self, request: Exchange) -> ExchangeReply:
-        """Takes commands; see `WorkerLink`."""
+        """Carries out commands and reports; see `WorkerLink`."""
         try:
             await self.faults.before()
             self._end_lapsed()
             self._check_fence(request)
-            self._take_commands(request)
+            self._apply_commands(request)
             reply = self._reply(request.seen)
             self.faults.after()
         except FaultError as error:
@@ -173,24 +173,26 @@
         self._epoch = request.epoch
         self._sequence = request.sequence
 
-    def _take_commands(self, request: Exchange) -> None:
+    def _apply_commands(self, request: Exchange) -> None:
         if not request.incarnation:
             return
-        for held in self._tasks.values():
-            until = _lease_of(held.spec, request)
-            held.lease_until = max(held.lease_until, until)
+        for known_task in self._tasks.values():
+            until = _lease_end_of(known_task.spec, request)
+            known_task.lease_until = max(known_task.lease_until, until)
         for array in request.commands:
             match COMMANDS.unpack(array):
                 case Start(spec):
-                    self._start(spec, _lease_of(spec, request))
+                    self._start(spec, _lease_end_of(spec, request))
                 case Stop(task, attempt, _):
-                    self._end(self._find(task, attempt), TaskState.STOPPED)
+                    self._end(
+                        self._find_attempt(task, attempt), TaskState.STOPPED
+                    )
                 case Throttle(task, attempt, share):
-                    self._throttle(self._find(task, attempt), share)
+                    self._throttle(self._find_attempt(task, attempt), share)
                 case Forget(task, attempt):
-                    self._forget(self._find(task, attempt))
+                    self._forget(self._find_attempt(task, attempt))
 
-    def _find(self, task: str, attempt: Attempt) -> StandinTask | None:
+    def _find_attempt(self, task: str, attempt: Attempt) -> StandinTask | None:
         found = self._tasks.get(task)
         if found is not None and found.spec.attempt == attempt:
             return found
@@ -207,8 +209,8 @@
         assert self._nursery is not None
         task = StandinTask(spec, lease_until)
         self._tasks[spec.task] = task
-        self._mark(task)
-        self._note(JournalEvent.STARTED, task, "", trio.current_time())
+        self._mark_changed(task)
+        self._record_event(JournalEvent.STARTED, task, "", trio.current_time())
         self._nursery.start_soon(self._run_task, task)
 
     async def _run_task(self, task: StandinTask) -> None:
@@ -220,18 +222,19 @@
                 task.result = "the worker is broken"
                 self._end(task, TaskState.FAILED)
                 return
-            await self._work(task)
+            await self._wait_until_done(task)
             failure = task.failure
             task.result = failure or f"done {task.spec.task}"
             ended = TaskState.FAILED if failure else TaskState.FINISHED
             self._end(task, ended)
 
-    async def _work(self, task: StandinTask) -> None:
+    async def _wait_until_done(self, task: StandinTask) -> None:
         done = False
         while not done:
             with trio.move_on_after(task.seconds_left) as scope:
                 await task.rate_changed.wait()
-            # Rounding may leave a rest that no clock can step through.
+            # Rounding may leave a remainder below the clock's resolution, so
+            # the timeout, not `seconds_left`, shows that the work is done.
             done = scope.cancelled_caught
 
     def _throttle(self, task: StandinTask | None, share: float) -> None:
@@ -241,7 +244,7 @@
         task.throttle = share
         task.rate_changed.set()
         task.rate_changed = trio.Event()
-        self._mark(task)
+        self._mark_changed(task)
 
     def _end(self, task: StandinTask | None, state: TaskState) -> None:
         if task is None or task.state is not TaskState.RUNNING:
@@ -252,8 +255,8 @@
         if state is TaskState.LAPSED:
             ended_at = min(ended_at, task.lease_until)
         task.scope.cancel()
-        self._mark(task)
-        self._note(JournalEvent.ENDED, task, state.value, ended_at)
+        self._mark_changed(task)
+        self._record_event(JournalEvent.ENDED, task, state.value, ended_at)
 
     def _end_lapsed(self) -> None:
         now = trio.current_time()
@@ -265,9 +268,9 @@
         if task is not None and task.state is not TaskState.RUNNING:
             del self._tasks[task.spec.task]
 
-    def _mark(self, task: StandinTask) -> None:
-        self._change += 1
-        task.changed = self._change
+    def _mark_changed(self, task: StandinTask) -> None:
+        self._change_count += 1
+        task.changed = self._change_count
         self.service.running = {
             spec.class_name
             for spec in self.running.values()
@@ -284,9 +287,9 @@
             self.service_address,
             self._shape.connections,
             self.leaving,
-            self._change,
+            self._change_count,
             [t.report() for t in changed],
-            self._take_usage(),
+            self._pop_usage(),
         )
 
     async def _measure_usage(self) -> None:
@@ -307,14 +310,14 @@
             while len(self._usage) > 1000:
                 self._usage.popleft()
 
-    def _take_usage(self) -> list[Usage]:
+    def _pop_usage(self) -> list[Usage]:
         known_before = trio.current_time() - self._shape.usage_lag
-        taken = []
+        reported = []
         while self._usage and self._usage[0].measured_at <= known_before:
-            taken.append(self._usage.popleft())
-        return taken
+            reported.append(self._usage.popleft())
+        return reported
 
-    def _note(
+    def _record_event(
         self, event: JournalEvent, task: StandinTask, detail: str, at: float
     ) -> None:
         load = self.load
@@ -333,7 +336,7 @@
         )
 
 
-def _lease_of(spec: TaskSpec, request: Exchange) -> float:
+def _lease_end_of(spec: TaskSpec, request: Exchange) -> float:
     if spec.kind is TaskKind.SERVICE:
         return request.service_lease_until
     return request.lease_until
@@ -341,7 +344,7 @@
 
 @asynccontextmanager
 async def open_worker(worker: WorkerStandin) -> AsyncIterator[WorkerStandin]:
-    """Runs a worker stand-in for as long as the block runs."""
+    """Runs a worker stand-in until the context exits."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(worker.run)
         await trio.lowlevel.checkpoint()
@@ -350,12 +353,12 @@
 
 
 def make_worker_app(worker: WorkerStandin, key: str) -> App:
-    """Returns the control listener; it wants the key."""
+    """Returns an ASGI app of the control listener, authorized by `key`."""
     expected = f"Bearer {key}".encode()
 
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         request = await read_request(
-            scope, receive, max_body_bytes=_BODY_MOST, timeout=10.0
+            scope, receive, max_body_bytes=_MAX_BODY_BYTES, timeout=10.0
         )
         given = request.header(b"authorization").encode()
         if not hmac.compare_digest(given, expected):
@@ -371,7 +374,7 @@
             refusal = {"refusal": error.refusal.value}
             reply = json_reply(refusal, status=409)
         except WorkerUnreachableError:
-            reply = json_reply({"error": "told to fail"}, status=503)
+            reply = json_reply({"error": "injected fault"}, status=503)
         await send_reply(send, reply)
 
     return app
