--- a/pimentocross/owner/call_timeouts.py
+++ b/pimentocross/owner/call_timeouts.py
@@ -4,8 +4,9 @@
 answer says nothing about the worker. So timeouts grow with the recent lateness
 of the event loop, and a call that failed by a sudden stall is repeated before
 the worker counts as silent. Two bounds keep the guarantees of leases: no call
-lasts into the last second of the lease that it requests, and a call is not
-repeated on these grounds more than three seconds after the worker last replied.
+lasts into the last second of the lease that it requests, and own lateness is no
+reason to request a lease more than three seconds after the worker last replied,
+so that the leases of a silent worker lapse.
 """
 
 from typing import Final
@@ -28,6 +29,8 @@
 _LEASE_LEFT: Final = 1.0
 # Most seconds since the last reply of a worker after which a failed call is
 # blamed on own lateness: a call of the usual length and a stall of a second.
+# Later, the worker counts as silent: no lease is requested, and its leases
+# lapse.
 _REPLY_AGE_MOST: Final = 3.0
 
 
--- a/pimentocross/owner/const.py
+++ b/pimentocross/owner/const.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 # Changes within this time go into one append. It saves write budget of the
-# store and delays the start of a task by half of it on average.
+# store and delays the start of a task by half of it.
 BATCH_PAUSE: Final = 0.015
 # An idle owner writes a heartbeat record this often, so that a peer that
 # suspects it sees that it is alive.
@@ -38,8 +38,9 @@
 # longer than the longest announced outage of the store (9 s).
 RENEWALS_WITHOUT_STORE: Final = 12.0
 
-# Usual time that a worker may hold a listing call open. Each such call also
-# renews the worker's leases.
+# Usual time that a worker may hold a listing call open. Each such call renews
+# the worker's leases, so it is also the usual interval of lease renewals.
+# `ListingPace` lengthens it to at most a third of a lease.
 LISTING_WAIT: Final = 1.0
 # Usual time for workers on which serving tasks run beside best-effort tasks:
 # their readings are needed more often.
@@ -112,5 +113,5 @@
 # leases expire meanwhile.
 LAST_RECORD_WAIT: Final = 1.0
 # "No such job" is answered only if the store acknowledged an append within this
-# time; otherwise a successor may have accepted the job.
+# time; otherwise a successor may know more.
 MAX_ACK_AGE: Final = 1.5
--- a/pimentocross/owner/copier.py
+++ b/pimentocross/owner/copier.py
@@ -252,8 +252,8 @@
     """Returns whether copies of a step are allowed and may be needed.
 
     Steps that save checkpoints get no copies, as both runs would save theirs in
-    turn. Neither do best-effort tasks, as their speed depends on the capacity
-    that serving tasks leave them.
+    turn. Neither do best-effort tasks, as they run at the pace that other tasks
+    leave them.
     """
     spec = step.spec
     if not spec.copies or spec.lasting or spec.gang:
--- a/pimentocross/owner/isolation.py
+++ b/pimentocross/owner/isolation.py
@@ -9,11 +9,11 @@
 from pimentocross.placement.host import allows
 from pimentocross.work.state import Task
 
-# A task is isolated on one of the workers with the fewest runs, as these lose
-# the least if it crashes them.
+# A task is isolated on one of this many workers with the fewest runs, as these
+# lose the least if it crashes them.
 _MAX_CANDIDATES: Final = 3
-# Limits the work per task: after the outage of a rack many tasks wait to be
-# isolated in one pass.
+# Number of workers with room that are checked for one task. After the outage of
+# a rack many tasks wait to be isolated in one pass.
 _MAX_CHECKED: Final = 32
 
 
--- a/pimentocross/owner/job_api.py
+++ b/pimentocross/owner/job_api.py
@@ -154,6 +154,7 @@
 
     def _reply_unknown(self) -> JobReply:
         if self._ledger.age() > const.MAX_ACK_AGE or not self._knows_all_jobs():
-            # A successor or an entry VM may have accepted the job.
+            # A successor or an entry VM may have accepted jobs that are not
+            # known here.
             return JobReply(Outcome.STORE_AWAY)
         return JobReply(Outcome.NO_SUCH_JOB)
--- a/pimentocross/placement/copies.py
+++ b/pimentocross/placement/copies.py
@@ -3,8 +3,8 @@
 Load pattern: in a step of ten short tasks one takes seven times as long as the
 others. It delays the step, and with it the job, while workers have room. Where
 copies are allowed, the run that ends first counts. A copy only helps if the run
-is slow and not the task itself, so that for each queue the share of copies that
-end first is learned.
+is slow and not the task itself, so the share of copies that end first is
+learned for each queue.
 """
 
 from typing import Final, NamedTuple
--- a/pimentocross/placement/durations.py
+++ b/pimentocross/placement/durations.py
@@ -50,7 +50,9 @@
 # Ended tasks of a step that weigh as much as the prediction made without them:
 # tasks of one step differ by far less than steps do.
 _EQUAL_WEIGHT_TASKS: Final = 0.5
-# Least time left of a run, as a share of the expected duration of its task.
+# A run that has taken about as long as expected, or longer, is expected to take
+# at least this share of the expected duration more. Its reported progress is
+# weighed in afterwards.
 _MIN_SHARE_LEFT: Final = 0.25
 
 
