--- a/pimentocross/placement/pacing.py
+++ b/pimentocross/placement/pacing.py
@@ -38,7 +38,7 @@
 # A best-effort run with at most this pace does better on another worker.
 MOVE_MAX_PACE: Final = 30
 # Smaller changes, in percent of full speed, are not worth an order to the
-# worker, except a return to full pace.
+# worker, except a pause of all runs or a return to full pace.
 MIN_PACE_CHANGE: Final = 5
 FULL_PACE: Final = 100
 # Seconds between changes: a reading covers half a second and has to show the
