--- a/pimentocross/contracts/authority.py
+++ b/pimentocross/contracts/authority.py
@@ -141,7 +141,8 @@
         age = None if read_at == NEVER else trio.current_time() - read_at
         return Statement(
             self._process,
-            # Valid also while a gap is open: records past the gap were read.
+            # The position in the stream is valid even while records are missing
+            # before it (a gap): the records after the gap were read.
             self._fold.position,
             age,
             sorted(self._newcomers()),
--- a/pimentocross/entry/reports.py
+++ b/pimentocross/entry/reports.py
@@ -84,9 +84,9 @@
         ]
 
     def jobs(self, limit: int) -> list[JobStatus]:
-        """Returns the last `limit` jobs of the cells owned here.
+        """Returns up to `limit` jobs of the cells owned here, cell by cell.
 
-        Jobs are listed cell by cell, so these are not the newest of all cells.
+        These are the last of that list, not the newest jobs of all cells.
         """
         found = [
             JobStatus(
--- a/pimentocross/gateway/election.py
+++ b/pimentocross/gateway/election.py
@@ -239,7 +239,8 @@
         )
         while True:
             await trio.sleep(const.ELECTION_TICK)
-            # Samples the write timer: it only notices changes when read.
+            # Reading the status also reads the timer of the last write, which
+            # notices changes only when it is read.
             self.owner_status()
             newest = self._cluster.claim
             if newest is not None and newest.epoch > claim.epoch:
--- a/pimentocross/gateway/own_time.py
+++ b/pimentocross/gateway/own_time.py
@@ -38,7 +38,7 @@
     """Measures the loop time since a value last changed."""
 
     def __init__(self, clock: LoopClock, read: Callable[[], float]) -> None:
-        """Initializes the timer with the current value.
+        """Starts to watch a value, from its current value on.
 
         Args:
             clock: The clock to measure with.
--- a/pimentocross/links/messages.py
+++ b/pimentocross/links/messages.py
@@ -52,7 +52,11 @@
 
 
 class Acknowledged(NamedTuple):
-    """Whether the peer includes the new member in rule 1 from now on."""
+    """Whether the peer acknowledges the new member.
+
+    If so, the peer also asks the new member from now on before statements of
+    the members confirm its ownership: rule 1 in `contracts.authority`.
+    """
 
     promised: bool
 
--- a/pimentocross/observe/late_log.py
+++ b/pimentocross/observe/late_log.py
@@ -63,6 +63,7 @@
         note(
             "late",
             late=round(late, 3),
+            # Seconds spent in scheduling passes, not their number.
             passes=round(self._pass_seconds - passes, 3),
             processor=round(self._cpu_seconds - processor, 3),
         )
--- a/pimentocross/observe/meters.py
+++ b/pimentocross/observe/meters.py
@@ -6,7 +6,7 @@
 
 PASSES: Final = "passes_total"
 PASS_SECONDS: Final = "pass_seconds_total"
-# Calls to workers that renew their leases and list their runs.
+# Counts the calls to workers that renew their leases and list their runs.
 HOLDS: Final = "holds_total"
 LOOP_LATE: Final = "loop_late_seconds_total"
 _CPU_SECONDS: Final = "processor_seconds_total"
--- a/pimentocross/placement/durations.py
+++ b/pimentocross/placement/durations.py
@@ -44,8 +44,8 @@
 _STEPS_REMEMBERED: Final = 200
 _MIN_TASKS: Final = 100
 _TASKS_REMEMBERED: Final = 500
-# Ended tasks of a step before the step is compared with its queue, and its
-# other tasks with the ended ones.
+# Minimum number of ended tasks of a step before their durations are compared
+# with those of its queue, and the step's other tasks with the ended ones.
 _MIN_ENDED_TASKS: Final = 3
 # Ended tasks of a step that weigh as much as the prediction made without them:
 # tasks of one step differ by far less than steps do.
--- a/pimentocross/placement/triage.py
+++ b/pimentocross/placement/triage.py
@@ -72,10 +72,11 @@
 
 
 def cost_ratio(name: str, relative_work: float) -> float:
-    """Returns the work of a job over its value, 1 for the mean job.
+    """Returns the work of a job over its value.
 
-    A hash of the name decides which large jobs are exempt. That needs no stored
-    state, and the next owner decides the same.
+    The ratio is 1.0 for the mean job and for large jobs that are exempt. A hash
+    of the name decides which ones are. That needs no stored state, and the next
+    owner decides the same.
 
     Args:
         name: Name of the job.
--- a/pimentocross/platform/wire.py
+++ b/pimentocross/platform/wire.py
@@ -65,7 +65,7 @@
     zone: str
     state: Literal["ready", "draining"]
     capacity: _Capacity
-    # The kind, then the rack.
+    # The worker's kind, then its rack.
     labels: list[str]
     machine_id: str = ""
     # Start time of the worker, in milliseconds since 1970.
--- a/pimentocross/work/records.py
+++ b/pimentocross/work/records.py
@@ -28,10 +28,11 @@
 # software must be able to read.
 CRASHES: Final = "c"
 LATE_STARTS: Final = "s"
-# A late start is one that a worker may still carry out after its call got no
-# answer. Earlier versions of the software stored until when that may happen, as
-# times of their VM's clock. The record is removed: an earlier version would
-# rely on it although it isn't updated any more.
+# Key of an obsolete record of late starts: those that a worker may still carry
+# out after the call got no answer. Earlier versions of the software stored
+# until when that may happen, as times of their VM's clock. The record is
+# removed: an earlier version would rely on it although it isn't updated any
+# more.
 LEGACY_LATE_STARTS: Final = "h"
 LEASES: Final = "g"
 SILENT_LIVES: Final = "d"
--- a/pimentocross/zones/cell.py
+++ b/pimentocross/zones/cell.py
@@ -353,7 +353,8 @@
         else:
             worker.forget(spec.task, spec.attempt)
 
-    # Work that the owner starts itself.
+    # Methods that the owner's own tasks run, as opposed to worker events, and
+    # helpers.
 
     async def _open(self) -> bool:
         """Opens the cell so that records of earlier owners are rejected.
--- a/tests/gateway_fixtures.py
+++ b/tests/gateway_fixtures.py
@@ -60,7 +60,7 @@
         self.current = current
 
     async def check_current(self) -> bool:
-        """Returns `current`."""
+        """Returns the fixed answer given at construction."""
         await trio.lowlevel.checkpoint()
         return self.current
 
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -431,7 +431,8 @@
         assert not history.gives_up(crash, lasting=True)
     # When hardly any other worker ends, the task is the cause.
     assert history.gives_up(crash._replace(hazard=0.0004), lasting=True)
-    # Crashes right at the start are caused by it, whatever else ends.
+    # Crashes right at the start are blamed on the task, however many other
+    # workers end.
     history = NO_CRASHES
     for number in range(1, 6):
         crash = crash._replace(run=number, lived=0.0)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -49,7 +49,7 @@
 def _make_hall(
     plan: Callable[[TaskName], TaskPlan], each: int = 2
 ) -> WorkerPool:
-    """Returns a hall of workers, `each` in every zone."""
+    """Returns a pool of workers, `each` in every zone."""
     hall = WorkerPool()
     for number in range(each * len(ZONES)):
         zone = ZONES[number % len(ZONES)]
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -320,7 +320,8 @@
     async with open_served("limits: {queue: 8}\n") as (cluster, client):
         for worker in cluster.workers:
             # Much longer than 60 callers need to send, also on a busy machine:
-            # with 0.2 s the targets began another round and served 24.
+            # with 0.2 s the targets had finished some requests and took more:
+            # they served 24 instead of 16.
             worker.service.faults.plan = FaultPlan(delay=0.6)
         replies: list[Reply] = []
 
--- a/tests/test_pass_cost.py
+++ b/tests/test_pass_cost.py
@@ -37,7 +37,7 @@
 )
 _FILLING = StepSpec(20, Size(1_500, 1_000, 0), 2.0, fills=True)
 _QUICK = StepSpec(10, Size(1_000, 2_000, 0), 1.0)
-# Two filler images, two serving images and short tasks.
+# Two images of best-effort tasks, two serving images and short tasks.
 _STEP_KINDS = 5
 # Seconds.
 _PACING_SECONDS = 2.0
@@ -83,8 +83,8 @@
 async def _count_calls_of_pass(workers: int, job_groups: int) -> int:
     """Returns the number of function calls to place all waiting tasks."""
     cell = DispatcherHarness(map(_worker, range(workers)))
-    # Teaches all pairs of images; otherwise few fillers are placed before the
-    # first readings.
+    # Teaches all pairs of images; otherwise few best-effort tasks are placed
+    # before the first readings.
     for _ in range(9):
         for n in range(4):
             image, loads = f"serve{n % 2}", {f"fill{n // 2}": 0.9}
--- a/tests/test_tails.py
+++ b/tests/test_tails.py
@@ -185,7 +185,8 @@
         _progress(durations, "b", 30, 1.6),
     ]
     assert not _is_slow(two)
-    # Tasks of one job are long together.
+    # Tasks of one job are long for the same reason, so they count as one piece
+    # of evidence.
     assert not _is_slow([lone[0]] * 4 + [lone[1]])
 
 
--- a/tests/test_triage.py
+++ b/tests/test_triage.py
@@ -98,7 +98,7 @@
 def _orders(
     waits: dict[_Job, WaitingJob], room: float, mean: float
 ) -> list[Order]:
-    """Returns the sort keys of jobs; without a mean, of the usual order."""
+    """Returns the sort keys of jobs; if mean work is 0, without cost ratios."""
     if not mean or not overloaded_priorities(waits.values(), room):
         return [order_of(each.rank) for each in waits.values()]
     return [
