--- a/pimentocross/cli/diagnosis.py
+++ b/pimentocross/cli/diagnosis.py
@@ -98,11 +98,15 @@
         job: The job's id.
     """
     ordered = sorted(lines, key=lambda line: line.at)
-    own = [line for line in ordered if line.concerns(job)]
-    accepted = [line for line in own if line.kind == "job_accepted"]
+    job_lines = [line for line in ordered if line.concerns(job)]
+    accepted = [line for line in job_lines if line.kind == "job_accepted"]
     if not accepted:
-        return _diagnose_refusal(own)
-    last = [line for line in own if line.kind in ("job_ended", "job_cancelled")]
+        return _diagnose_refusal(job_lines)
+    last = [
+        line
+        for line in job_lines
+        if line.kind in ("job_ended", "job_cancelled")
+    ]
     # A job without an end in the log lasts until the last line of the log.
     until = last[0].at if last else ordered[-1].at
     try:
@@ -114,18 +118,18 @@
     logged = LoggedJob(
         accepted[0].at,
         steps,
-        read_logged_runs(own),
+        read_logged_runs(job_lines),
         until,
         completed,
-        read_crash_count(own),
+        read_crash_count(job_lines),
     )
     logged.infer_unlogged_ends()
     parts = _CriticalPath(logged, ordered).parts()
     return Diagnosis(outcome, tuple(parts), _find_cause(outcome, parts, logged))
 
 
-def _diagnose_refusal(own: Sequence[LogLine]) -> Diagnosis:
-    for line in reversed(own):
+def _diagnose_refusal(job_lines: Sequence[LogLine]) -> Diagnosis:
+    for line in reversed(job_lines):
         if line.kind in _REFUSAL_KINDS:
             reason = str(line.fields["reason"])
             return Diagnosis("not accepted", (), f"refused: {reason}")
--- a/pimentocross/config/checks.py
+++ b/pimentocross/config/checks.py
@@ -41,7 +41,7 @@
     )
 
 
-def _sized_entries(
+def _entries_with_size(
     config: Configuration,
 ) -> Iterator[tuple[str, str, str, SizeConfig]]:
     for name, service in config.services.items():
@@ -54,7 +54,7 @@
 
 def _check_names(config: Configuration) -> Iterator[Violation]:
     seen: dict[str, str] = {}
-    for section, name, _, _ in _sized_entries(config):
+    for section, name, _, _ in _entries_with_size(config):
         if name in seen:
             yield Violation(
                 (section, name), f"{name!r} is also defined in {seen[name]}"
@@ -72,7 +72,7 @@
 
 
 def _check_tenants(config: Configuration) -> Iterator[Violation]:
-    for section, name, tenant, _ in _sized_entries(config):
+    for section, name, tenant, _ in _entries_with_size(config):
         if tenant not in config.tenants:
             path = (section, name, "tenant")
             yield Violation(path, f"no tenant {tenant!r}")
@@ -86,7 +86,7 @@
 
 
 def _check_sharing(config: Configuration) -> Iterator[Violation]:
-    known = {name for _, name, _, _ in _sized_entries(config)}
+    known = {name for _, name, _, _ in _entries_with_size(config)}
     for name, rule in config.sharing.items():
         if rule.batch not in config.batch:
             path = ("sharing", name, "batch")
@@ -103,7 +103,7 @@
 
 def _check_sizes(config: Configuration) -> Iterator[Violation]:
     capacity = config.workers.resources
-    for section, name, _, size in _sized_entries(config):
+    for section, name, _, size in _entries_with_size(config):
         for resource in Resources._fields:
             requested = getattr(size, resource)
             available = getattr(capacity, resource)
--- a/pimentocross/contracts/hedging.py
+++ b/pimentocross/contracts/hedging.py
@@ -128,10 +128,12 @@
         while True:
             await _read_arrived_answer(request.done)
             # No time may be left if this process was slow.
-            left = until - trio.current_time()
-            if request.done.is_set() or left <= 0:
+            seconds_left = until - trio.current_time()
+            if request.done.is_set() or seconds_left <= 0:
                 break
-            request.start(nursery, RequestAttempt(0.0, left, is_hedge=True))
+            request.start(
+                nursery, RequestAttempt(0.0, seconds_left, is_hedge=True)
+            )
             with trio.move_on_after(hedge_delay):
                 await request.done.wait()
         # Each attempt ends by its own timeout, or as soon after it as this
--- a/pimentocross/contracts/limit.py
+++ b/pimentocross/contracts/limit.py
@@ -9,7 +9,7 @@
 _BASELINE_DRIFT: Final = 0.002
 # The limit falls while the smoothed latency exceeds this multiple of the
 # baseline.
-_TOLERANCE: Final = 2.0
+_MAX_LATENCY_RATIO: Final = 2.0
 # Factor that a failure applies to the limit.
 _BACKOFF: Final = 0.9
 
@@ -46,7 +46,7 @@
         self._smoothed += _SMOOTHING * (latency - self._smoothed)
         drift = _BASELINE_DRIFT * (self._smoothed - self._baseline)
         self._baseline = min(self._baseline + max(drift, 0.0), self._smoothed)
-        if self._smoothed > _TOLERANCE * self._baseline:
+        if self._smoothed > _MAX_LATENCY_RATIO * self._baseline:
             self._limit = max(self._limit - 1 / self._limit, self._min_limit)
         else:
             self._limit = min(self._limit + 1 / self._limit, self._max_limit)
--- a/pimentocross/contracts/outbox.py
+++ b/pimentocross/contracts/outbox.py
@@ -119,8 +119,8 @@
             unsettled = [p for p in self._waiting if p.verdict is None]
             self._waiting = deque(unsettled)
             linger_until = self._appended_at + const.LINGER
-            lingering = trio.current_time() < linger_until
-            if unsettled and not lingering:
+            is_batching = trio.current_time() < linger_until
+            if unsettled and not is_batching:
                 return unsettled[: const.MAX_APPEND_BATCH]
             if any(pending.urgent for pending in unsettled):
                 return unsettled[: const.MAX_APPEND_BATCH]
--- a/pimentocross/contracts/poll_pace.py
+++ b/pimentocross/contracts/poll_pace.py
@@ -22,8 +22,8 @@
             longest: The longest wait of a read, in seconds.
         """
         self._longest = longest
-        self._first = longest * _FIRST_SHARE
-        self._wait = self._first
+        self._initial_wait = longest * _FIRST_SHARE
+        self._wait = self._initial_wait
 
     @property
     def wait(self) -> float:
@@ -39,4 +39,4 @@
 
     def restart(self) -> None:
         """Resets the wait to its initial length."""
-        self._wait = self._first
+        self._wait = self._initial_wait
--- a/pimentocross/entry/const.py
+++ b/pimentocross/entry/const.py
@@ -34,7 +34,7 @@
 MAX_KEY_LENGTH: Final = 255
 KEY_PUBLISH_TIMEOUT: Final = 5.0
 
-RETRY_AFTER_LOG: Final = 5.0
+RETRY_AFTER_LOG_FAILURE: Final = 5.0
 RETRY_AFTER_BUSY: Final = 1.0
 # A target is ejected after this many failures in a row.
 EJECT_AFTER_FAILURES: Final = 5
--- a/pimentocross/entry/idempotency.py
+++ b/pimentocross/entry/idempotency.py
@@ -152,7 +152,7 @@
             self._answers[key] = KeyAnswer("released")
             self._settle(key, KeyAnswer("released"))
         detail = f"the key could not be claimed: {verdict.reason}"
-        return not_run(503, "no-claim", detail, const.RETRY_AFTER_LOG)
+        return not_run(503, "no-claim", detail, const.RETRY_AFTER_LOG_FAILURE)
 
     def _settle(self, key: str, answer: KeyAnswer) -> None:
         body = answer.body[: const.MAX_KEPT_BODY_BYTES + 1]
--- a/pimentocross/entry/jobs.py
+++ b/pimentocross/entry/jobs.py
@@ -223,7 +223,7 @@
         reason = reply.reason
     if maybe_sent:
         return unknown(504, "not-confirmed", reason)
-    return not_run(503, "not-accepted", reason, const.RETRY_AFTER_LOG)
+    return not_run(503, "not-accepted", reason, const.RETRY_AFTER_LOG_FAILURE)
 
 
 async def answer_for_cell(
--- a/pimentocross/entry/operator_api.py
+++ b/pimentocross/entry/operator_api.py
@@ -168,7 +168,7 @@
             return not_run(409, "conflict", verdict.reason).reply()
         if verdict.outcome is Outcome.NOT_SENT:
             return not_run(
-                503, "log-away", verdict.reason, const.RETRY_AFTER_LOG
+                503, "log-away", verdict.reason, const.RETRY_AFTER_LOG_FAILURE
             ).reply()
         if verdict.outcome is Outcome.UNKNOWN:
             return unknown(504, "not-confirmed", verdict.reason).reply()
--- a/pimentocross/gateway/config_follower.py
+++ b/pimentocross/gateway/config_follower.py
@@ -91,7 +91,7 @@
             HEDGE_DELAY, within * const.CONFIG_OVERDUE_SHARE
         )
         self._fresh_within = within * const.CONFIG_FRESH_SHARE
-        self._current_within = within * const.CONFIG_CURRENT_SHARE
+        self._current_within = within * const.CONFIG_MAX_AGE_SHARE
         self._config: WorkConfig | None = None
         self._known_at = float("-inf")
         self._urgent = trio.Event()
--- a/pimentocross/gateway/const.py
+++ b/pimentocross/gateway/const.py
@@ -26,12 +26,12 @@
 # this VM refresh its copy.
 CONFIG_WAIT_SHARE: Final = 0.5
 CONFIG_OVERDUE_SHARE: Final = 0.2
-CONFIG_CURRENT_SHARE: Final = 0.75
+CONFIG_MAX_AGE_SHARE: Final = 0.75
 CONFIG_FRESH_SHARE: Final = 0.05
 # Share of the time limit for evacuations to be in force within which this VM's
 # copy counts as current, so that a start may rely on it. The rest is left for
 # the start to arrive.
-EVACUATION_CURRENT_SHARE: Final = 0.6
+EVACUATION_MAX_AGE_SHARE: Final = 0.6
 # How long a caller waits for a refresh from the store before it is told to come
 # back. A slow store answers within this time.
 CONFIG_LOOKUP_TIMEOUT: Final = 0.2
@@ -83,7 +83,7 @@
 # Extra delay of a VM's claim if a stronger VM may claim. Late turns of strong
 # VMs are hardly before those of weak ones, and the heartbeat that shows them
 # the failure may come an interval later.
-WEAK_HANDICAP: Final = HEARTBEAT_INTERVAL + ELECTION_TICK
+WEAKER_VM_CLAIM_DELAY: Final = HEARTBEAT_INTERVAL + ELECTION_TICK
 # Longest time between two ticks that counts as silence of peers; the rest is a
 # stall of this process's event loop. On a busy VM timers fire late by a tick.
 STALL_THRESHOLD: Final = 2 * ELECTION_TICK
--- a/pimentocross/gateway/election.py
+++ b/pimentocross/gateway/election.py
@@ -325,7 +325,9 @@
                 # turn reads nothing if the suspect is replaced or answers in
                 # the meantime.
                 turn = self._find_own_turn(claim)
-                await self._wait_while_newest(claim, turn.delay + turn.handicap)
+                await self._wait_while_newest(
+                    claim, turn.delay + turn.claim_delay
+                )
                 reason = self._find_suspicion(claim, link)
                 if not reason or self._cluster.claim is not claim:
                     continue
@@ -402,7 +404,7 @@
             self._cached_interval = heartbeat_interval(
                 members, early=turn.early
             )
-            self._yields_to_stronger = turn.handicap > 0
+            self._yields_to_stronger = turn.claim_delay > 0
         return self._cached_interval
 
     def _timeout_factor(self, claim: OwnerClaim, link: OwnerLink) -> float:
--- a/pimentocross/gateway/evacuations.py
+++ b/pimentocross/gateway/evacuations.py
@@ -23,7 +23,7 @@
                 its acknowledgement on; infinite in deployments without
                 evacuations.
         """
-        self._current_within = within * const.EVACUATION_CURRENT_SHARE
+        self._current_within = within * const.EVACUATION_MAX_AGE_SHARE
         self._zones: frozenset[str] = frozenset()
         self._known_at = float("-inf")
 
--- a/pimentocross/gateway/turns.py
+++ b/pimentocross/gateway/turns.py
@@ -25,13 +25,13 @@
         early: Whether the member is one of the first, usually the only ones to
             check in the store whether a suspected owner still writes.
         delay: Seconds to wait, so that the members before it can claim.
-        handicap: Further seconds to wait for stronger members if the owner is
-            suspected, since these may suspect it a little later.
+        claim_delay: Further seconds to wait for stronger members if the owner
+            is suspected, since these may suspect it a little later.
     """
 
     early: bool
     delay: float
-    handicap: float = 0.0
+    claim_delay: float = 0.0
 
 
 def find_turn(
@@ -60,7 +60,7 @@
         # Members late in the shared period already wait longer than most
         # stronger ones, so half of that wait is deducted.
         late = max(turn.delay - const.LATE_TURNS_AFTER, 0.0)
-        turn = turn._replace(handicap=const.WEAK_HANDICAP - late / 2)
+        turn = turn._replace(claim_delay=const.WEAKER_VM_CLAIM_DELAY - late / 2)
     return turn
 
 
--- a/pimentocross/owner/call_timeouts.py
+++ b/pimentocross/owner/call_timeouts.py
@@ -61,9 +61,9 @@
             wait: How long the worker may wait for changes before it answers.
             now: Present time.
         """
-        base = wait + const.LISTING_SLACK
-        most = max(self._lease - _LEASE_LEFT - base, 0.0)
-        return base + min(self._extra_time(now), most)
+        usual_timeout = wait + const.LISTING_SLACK
+        most = max(self._lease - _LEASE_LEFT - usual_timeout, 0.0)
+        return usual_timeout + min(self._extra_time(now), most)
 
     def is_own_lateness(
         self, sent_at: float, wait: float, timeout: float, last_reply_at: float
--- a/pimentocross/owner/dispatcher.py
+++ b/pimentocross/owner/dispatcher.py
@@ -22,7 +22,7 @@
 from pimentocross.owner.ledger import Batch
 from pimentocross.owner.load_log import LoadLog
 from pimentocross.owner.orders import Orders, Placement
-from pimentocross.owner.pass_share import PassShare, Round
+from pimentocross.owner.pass_share import PassShare, PlacementRound
 from pimentocross.owner.placer import Placer
 from pimentocross.owner.rebalancer import Rebalancer
 from pimentocross.owner.reclaimer import Reclaimer
@@ -108,7 +108,7 @@
         self._load_log = LoadLog()
         self._isolation = Isolation()
         self._share = PassShare()
-        self._round = Round()
+        self._round = PlacementRound()
         self._applied_version = -1
         self._wake = trio.Event()
 
@@ -134,7 +134,7 @@
         self._learned.disturbance.advance(trio.current_time())
         self._run_controller.pass_over(orders)
         if not self._round.interrupted:
-            self._round = Round()
+            self._round = PlacementRound()
         self._round.begin_pass()
         self._start_waiting(orders)
         if self._copies and not self._round.interrupted:
--- a/pimentocross/owner/late_starts.py
+++ b/pimentocross/owner/late_starts.py
@@ -88,7 +88,7 @@
     def open(self, start_soon: Callable[..., None]) -> None:
         """Sets how to start background tasks. Must be called first."""
         self._start_soon = start_soon
-        former = LazyRecord(records.LEGACY_LATE_STARTS, lambda: None)
+        former = LazyRecord(records.OBSOLETE_LATE_STARTS_KEY, lambda: None)
         self._ledger.put_with_next(former)
 
     def restore(self, value: bytes) -> None:
--- a/pimentocross/owner/learned.py
+++ b/pimentocross/owner/learned.py
@@ -182,7 +182,7 @@
             if durations.has_any_tail:
                 self._note_projection(worker, step, run, elapsed)
             if step not in expected and durations.has_any_tail:
-                expected[step] = self._expected(step, worker)
+                expected[step] = self._expected_duration(step, worker)
             elif step not in expected:
                 queue = step.job.queue.name
                 expected[step] = durations.task(queue, step.spec), True
@@ -202,7 +202,9 @@
             found.append((run, progress))
         return found
 
-    def _expected(self, step: Step, worker: Worker) -> _ExpectedDuration:
+    def _expected_duration(
+        self, step: Step, worker: Worker
+    ) -> _ExpectedDuration:
         """Returns how long tasks of a step take on sound workers.
 
         In a queue with a long tail, the progress of other tasks of the step is
--- a/pimentocross/owner/pass_share.py
+++ b/pimentocross/owner/pass_share.py
@@ -17,7 +17,7 @@
 from pimentocross.work.state import Step
 
 
-class Round:
+class PlacementRound:
     """A round over all waiting steps, made by one or more passes.
 
     Attributes:
--- a/pimentocross/owner/placer.py
+++ b/pimentocross/owner/placer.py
@@ -63,7 +63,7 @@
     def place_anywhere(self, step: Step) -> list[Placement]:
         """Places as many waiting tasks of a step as fit on usable workers."""
         placed = self._place_among(step, self._usable)
-        self._usable.include_all()
+        self._usable.include_all_workers()
         return placed
 
     def _place_among(
--- a/pimentocross/placement/disturbance.py
+++ b/pimentocross/placement/disturbance.py
@@ -87,7 +87,7 @@
 # Readings are clamped to this range: a worker that hangs shows tail latencies
 # of hundreds of times the target, which say nothing more about pairs.
 _MAX_RATIO: Final = 5.0
-_MIN_RATIO: Final = 0.05
+_MIN_READING_RATIO: Final = 0.05
 
 
 class Disturbance:
@@ -200,7 +200,7 @@
             variance += weight * weight * estimate.variance
         expected = deviation.mean + expected_effect
         residual_variance = deviation.variance + _READING_VARIANCE + variance
-        clamped = min(max(ratio, _MIN_RATIO), _MAX_RATIO)
+        clamped = min(max(ratio, _MIN_READING_RATIO), _MAX_RATIO)
         residual = math.log(clamped) - expected
         residual = min(max(residual, -_MAX_RESIDUAL), _MAX_RESIDUAL)
         for image, weight in weights.items():
--- a/pimentocross/placement/durations.py
+++ b/pimentocross/placement/durations.py
@@ -277,8 +277,8 @@
         if step.undone == 0 and not whole:
             return 0.0
         queue = step.job.queue.name
-        wide = self._slowest(queue, step.spec.width)
-        return self.expected_duration(step) * wide
+        slowest_ratio = self._slowest(queue, step.spec.width)
+        return self.expected_duration(step) * slowest_ratio
 
     def _slowest(self, queue: str, width: int) -> float:
         """Returns the slowest task of a step over the median one."""
--- a/pimentocross/placement/field.py
+++ b/pimentocross/placement/field.py
@@ -195,7 +195,7 @@
         self._excluded.add(self._position_by_number[host.number])
         self.note_changed(host)
 
-    def include_all(self) -> None:
+    def include_all_workers(self) -> None:
         """Includes all excluded workers again."""
         excluded, self._excluded = self._excluded, set()
         for position in excluded:
--- a/pimentocross/placement/interference.py
+++ b/pimentocross/placement/interference.py
@@ -72,8 +72,8 @@
         with few reports are tried now and then, at a small cost.
         """
         known = self.estimate(victim, neighbour, band)
-        bonus = const.EXPLORATION_WEIGHT * math.sqrt(known.variance)
-        return max(known.mean - bonus, 0.0)
+        exploration_bonus = const.EXPLORATION_WEIGHT * math.sqrt(known.variance)
+        return max(known.mean - exploration_bonus, 0.0)
 
     def slowdown(
         self, victim: str, neighbours: Mapping[str, int], band: int
--- a/pimentocross/placement/moves.py
+++ b/pimentocross/placement/moves.py
@@ -140,11 +140,11 @@
         )
         free = (host for host in self._hosts if host.number not in busy)
         hosts = list(itertools.islice(free, _MAX_DESTINATIONS))
-        numbers = {host.number for host in hosts}
+        host_numbers = {host.number for host in hosts}
         partners = [
             candidate
             for candidate in candidates
-            if candidate.host.number in numbers
+            if candidate.host.number in host_numbers
         ]
         moves = (
             move
--- a/pimentocross/standins/task_worker.py
+++ b/pimentocross/standins/task_worker.py
@@ -155,7 +155,7 @@
         self._ending_count = 0
         self._lapsed = True
         self._lapses = 0
-        self._lapses_at_end: dict[int, int] = {}
+        self._lapse_counts_by_ending: dict[int, int] = {}
 
     @property
     def committed(self) -> Size:
@@ -327,7 +327,7 @@
         del self._runs[(task, run)]
         self._ending_count += 1
         self._endings.append(Ending(self._ending_count, task, run, how, ""))
-        self._lapses_at_end[self._ending_count] = self._lapses
+        self._lapse_counts_by_ending[self._ending_count] = self._lapses
         self._barred[task] = max(self._barred.get(task, 0), run)
         self._record_event(task, run, how.value, clock - self._offset)
 
@@ -337,7 +337,7 @@
         An ending is void if the lease has lapsed since: the task may have been
         started on another worker in the meantime.
         """
-        if self._lapses_at_end[ending.number] == self._lapses:
+        if self._lapse_counts_by_ending[ending.number] == self._lapses:
             what = f"noted {ending.how.value}"
             self._record_event(ending.task, ending.run, what)
 
--- a/pimentocross/vms/worker.py
+++ b/pimentocross/vms/worker.py
@@ -298,7 +298,9 @@
         reply: ExchangeReply,
         events: WorkerEvents,
     ) -> None:
-        known = {(r.spec.task, r.spec.attempt) for r in reply.changes}
+        reported_attempts = {
+            (r.spec.task, r.spec.attempt) for r in reply.changes
+        }
         sent = {id(command) for command in commands}
         self._commands = [c for c in self._commands if id(c) not in sent]
         for command in commands:
@@ -306,7 +308,7 @@
                 continue
             spec = command.spec
             self._starts.pop(spec.task, None)
-            if (spec.task, spec.attempt) not in known:
+            if (spec.task, spec.attempt) not in reported_attempts:
                 self.commitments.release(spec.task)
                 events.on_not_started(self, spec)
 
--- a/pimentocross/work/records.py
+++ b/pimentocross/work/records.py
@@ -33,7 +33,7 @@
 # until when that may happen, as times of their VM's clock. The record is
 # removed: an earlier version would rely on it although it isn't updated any
 # more.
-LEGACY_LATE_STARTS: Final = "h"
+OBSOLETE_LATE_STARTS_KEY: Final = "h"
 LEASES: Final = "g"
 SILENT_LIVES: Final = "d"
 WORKER_ENDS: Final = "e"
--- a/pimentocross/zones/cell_state.py
+++ b/pimentocross/zones/cell_state.py
@@ -200,8 +200,8 @@
 
     def load(self, dump: RecordBody) -> None:
         """Replaces the state with a dumped one."""
-        parts = [dump[name] for name in _Dump._fields]
-        loaded = msgspec.convert(parts, _Dump, strict=False)
+        field_values = [dump[name] for name in _Dump._fields]
+        loaded = msgspec.convert(field_values, _Dump, strict=False)
         self._epoch = loaded.epoch
         self._jobs = {job.accepted.job: job for job in loaded.jobs}
         self._ended = {i: None for i, job in self._jobs.items() if job.ended}
--- a/pimentocross/zones/placer.py
+++ b/pimentocross/zones/placer.py
@@ -81,7 +81,7 @@
             task.size = self._sizes.correct(
                 task.class_name, task.declared, config.workers.resources
             )
-        return self._policy(config).choose(_to_request(task), views)
+        return self._policy(config).choose(_to_placement_request(task), views)
 
     def choose_move(
         self,
@@ -94,7 +94,7 @@
         if not isinstance(policy, WeightedPolicy):
             return None
         placed = [
-            PlacedReplica(_to_request(task), task.worker)
+            PlacedReplica(_to_placement_request(task), task.worker)
             for task in tasks
             if task.kind is TaskKind.SERVICE
         ]
@@ -187,5 +187,5 @@
     return [w for w in workers if w.is_synced and not w.leaving]
 
 
-def _to_request(task: WantedTask) -> PlacementRequest:
+def _to_placement_request(task: WantedTask) -> PlacementRequest:
     return PlacementRequest(task.task, task.kind, task.class_name, task.size)
--- a/tests/crash_loops.py
+++ b/tests/crash_loops.py
@@ -141,7 +141,7 @@
     """A cell whose owners may be killed, and the states of its jobs."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
-        self.hall = WorkerPool()
+        self.worker_pool = WorkerPool()
         self.states: dict[str, JobState | None] = {}
         self._kills = scenario.kills
         self._random = random.Random(seed)
@@ -149,8 +149,8 @@
         self._owner: Owner | None = None
         for number in range(scenario.workers):
             listed = life(number, rack=f"r{number // _RACK_SIZE}")
-            journal = self.hall.journal
-            self.hall.add(
+            journal = self.worker_pool.journal
+            self.worker_pool.add(
                 TaskWorkerStandin(listed, _plan, journal, seed=number)
             )
 
@@ -161,7 +161,7 @@
             epoch += 1
             owner = make_owner(
                 self._store,
-                self.hall,
+                self.worker_pool,
                 epoch,
                 vm=f"vm{epoch % 3}",
                 former_quiet=False,
@@ -211,7 +211,7 @@
     cell = _Cell(scenario, seed)
     async with trio.open_nursery() as nursery:
         supervisor = Supervisor(
-            cell.hall, _plan, seed=seed, keeps_ids=scenario.keeps_ids
+            cell.worker_pool, _plan, seed=seed, keeps_ids=scenario.keeps_ids
         )
         nursery.start_soon(supervisor.run)
         nursery.start_soon(cell.run_owners)
@@ -226,7 +226,7 @@
                 await trio.sleep(0.1)
         seconds = trio.current_time() - began
         nursery.cancel_scope.cancel()
-    return Outcome(cell.hall.journal, cell.states, seconds)
+    return Outcome(cell.worker_pool.journal, cell.states, seconds)
 
 
 def _scenarios() -> Iterator[Scenario]:
--- a/tests/gateway_fixtures.py
+++ b/tests/gateway_fixtures.py
@@ -34,7 +34,7 @@
 from pimentocross.standins.store import StoreClientStandin, StoreStandin
 from pimentocross.standins.worker_pool import WorkerPool
 from pimentocross.work.queue import Queue, WorkConfig
-from tests.owner_fixtures import CONFIG, make_hall
+from tests.owner_fixtures import CONFIG, make_worker_pool
 
 # Cores of a strong and a weak VM.
 STRONG: Final = 2.15
@@ -166,7 +166,7 @@
         self._address = f"{name}:7720"
         self.store = VmStore(cell, cell.store.client(name))
         self._heard = PeerActivity()
-        access = cell.hall.access(name)
+        access = cell.worker_pool.access(name)
         platform = CellPlatform(self.store, access, access)
         mine = PeerIdentity(self._process, name, self._address, "z")
         self._cluster = Cluster(platform.store)
@@ -227,7 +227,7 @@
 
     Attributes:
         store: The store.
-        hall: The workers.
+        worker_pool: The workers.
         vms: Running VMs by name.
         former: Whether VMs answer heartbeats as the former version does.
         answer_delay: Seconds until a heartbeat is answered.
@@ -239,7 +239,7 @@
     def __init__(self) -> None:
         """Initializes a cell without VMs."""
         self.store = StoreStandin()
-        self.hall: WorkerPool = make_hall()
+        self.worker_pool: WorkerPool = make_worker_pool()
         self.vms: dict[str, Vm] = {}
         self.former = False
         self.answer_delay = _NETWORK_DELAY
--- a/tests/owner_fixtures.py
+++ b/tests/owner_fixtures.py
@@ -122,16 +122,18 @@
     return TaskPlan(0.5, SMALL)
 
 
-def make_hall(
+def make_worker_pool(
     workers: int = 4, plan: Callable[[TaskName], TaskPlan] = quick
 ) -> WorkerPool:
     """Returns stand-in workers of 8 cores each."""
-    hall = WorkerPool()
+    worker_pool = WorkerPool()
     for number in range(workers):
-        hall.add(
-            TaskWorkerStandin(life(number), plan, hall.journal, seed=number)
+        worker_pool.add(
+            TaskWorkerStandin(
+                life(number), plan, worker_pool.journal, seed=number
+            )
         )
-    return hall
+    return worker_pool
 
 
 def spec(*steps: StepSpec) -> JobSpec:
@@ -151,7 +153,7 @@
 
 def make_owner(
     store: StoreStandin,
-    hall: WorkerPool,
+    worker_pool: WorkerPool,
     epoch: int,
     *,
     vm: str = "a",
@@ -162,7 +164,7 @@
     switches: Switches = ALL_ON,
 ) -> Owner:
     """Returns an owner with an epoch; all lower epochs are predecessors."""
-    access = hall.access(vm)
+    access = worker_pool.access(vm)
     platform = CellPlatform(
         store.client(vm),
         access,
--- a/tests/pass_fixtures.py
+++ b/tests/pass_fixtures.py
@@ -14,7 +14,7 @@
 from pimentocross.standins.store import StoreStandin
 from pimentocross.work.spec import JobSpec, StepSpec
 from pimentocross.work.state import Job, Run, RunState, Step, Task
-from tests.owner_fixtures import CONFIG, QUEUE, make_hall
+from tests.owner_fixtures import CONFIG, QUEUE, make_worker_pool
 
 
 class RecordedOrders:
@@ -88,7 +88,7 @@
 
 def make_worker(life: WorkerLife, number: int) -> Worker:
     """Returns a worker that is in use."""
-    worker = Worker(life, number, make_hall(0).access("a").link(life))
+    worker = Worker(life, number, make_worker_pool(0).access("a").link(life))
     worker.adopted = True
     return worker
 
--- a/tests/random_take_overs.py
+++ b/tests/random_take_overs.py
@@ -34,7 +34,7 @@
     find_overlapping_starts,
     find_starts_after_success,
     life,
-    make_hall,
+    make_worker_pool,
     spec,
 )
 
@@ -86,8 +86,10 @@
         """Initializes the simulation with the choices that hold throughout."""
         self._rng = random.Random(seed)
         self._cell = VmCell()
-        self._hall: WorkerPool = make_hall(_WORKER_COUNT, self._plan_task)
-        self._cell.hall = self._hall
+        self._worker_pool: WorkerPool = make_worker_pool(
+            _WORKER_COUNT, self._plan_task
+        )
+        self._cell.worker_pool = self._worker_pool
         self._cell.read_duration = self._rng.choice((0.0, 0.3, 1.0))
         # If workers don't report when they were started, owners don't wait for
         # task starts that may arrive late.
@@ -95,7 +97,7 @@
         # Shares of appends that aren't answered and that arrive seconds later.
         self._lost_share = self._rng.choice((0.0, 0.0, 0.05))
         self._late_share = self._rng.choice((0.0, 0.0, 0.05))
-        for worker in self._hall.workers.values():
+        for worker in self._worker_pool.workers.values():
             self._set_birth_reporting(worker)
         self._generations = dict.fromkeys(_VMS, 1)
         self._worker_number = _WORKER_COUNT
@@ -121,10 +123,10 @@
                     await trio.sleep(RECOVERY_TIME)
                     self._missing_tasks += self._find_missing_lasting_tasks()
                 nursery.cancel_scope.cancel()
-        for worker in self._hall.workers.values():
+        for worker in self._worker_pool.workers.values():
             worker.advance()
         journal = sorted(
-            self._hall.journal, key=lambda e: (e.at, e.what == "start")
+            self._worker_pool.journal, key=lambda e: (e.at, e.what == "start")
         )
         assert self._accepted, "no job was accepted"
         return Violations(
@@ -239,7 +241,9 @@
 
     def _toggle_link_cut(self) -> None:
         """Cuts the link from a VM to a worker, or restores all its links."""
-        cut = self._hall.cut.setdefault(self._rng.choice(sorted(_VMS)), set())
+        cut = self._worker_pool.cut.setdefault(
+            self._rng.choice(sorted(_VMS)), set()
+        )
         if len(cut) > 1:
             cut.clear()
         else:
@@ -249,7 +253,7 @@
         """Isolates a VM and a worker together from the store and all others."""
         worker_name = self._rng.choice(self._alive())
         if self._rng.random() < 0.7:
-            self._hall.unlisted.add(worker_name)
+            self._worker_pool.unlisted.add(worker_name)
         self._partition(self._owner_or_any(), worker_name)
 
     def _partition_after_silence(self) -> None:
@@ -258,8 +262,8 @@
             self._owner_or_any(),
             self._rng.choice(self._alive()),
         )
-        self._hall.unlisted.add(worker_name)
-        self._hall.cut.setdefault(owner, set()).add(worker_name)
+        self._worker_pool.unlisted.add(worker_name)
+        self._worker_pool.cut.setdefault(owner, set()).add(worker_name)
         silent = self._rng.uniform(2.0, 4.0)
         assert self._nursery is not None
         self._nursery.start_soon(
@@ -272,13 +276,13 @@
         await trio.sleep(wait)
         if (
             not self._are_faults_cleared
-            and not self._hall.workers[worker_name].dead
+            and not self._worker_pool.workers[worker_name].dead
         ):
             self._partition(name, worker_name)
 
     def _partition(self, vm_name: str, worker_name: str) -> None:
         for name in _VMS:
-            cut = self._hall.cut.setdefault(name, set())
+            cut = self._worker_pool.cut.setdefault(name, set())
             cut.discard(worker_name)
             others = set(self._alive()) - {worker_name}
             cut |= others if name == vm_name else {worker_name}
@@ -294,10 +298,10 @@
         return self._rng.choice(owners or sorted(_VMS))
 
     def _heal_partition(self, worker_name: str) -> None:
-        for cut in self._hall.cut.values():
+        for cut in self._worker_pool.cut.values():
             cut.clear()
-        if not self._hall.workers[worker_name].dead:
-            self._hall.unlisted.discard(worker_name)
+        if not self._worker_pool.workers[worker_name].dead:
+            self._worker_pool.unlisted.discard(worker_name)
 
     def _end_worker(self) -> None:
         """Ends a worker for good; its directory entry goes up to 3 s later."""
@@ -306,11 +310,11 @@
             self._add_worker()
             return
         gone = self._rng.choice(alive)
-        worker = self._hall.workers[gone]
+        worker = self._worker_pool.workers[gone]
         worker.crash()
         worker.faults.silent = True
         self._undo_later(
-            f"entry {gone}", 3.0, lambda: self._hall.unlisted.add(gone)
+            f"entry {gone}", 3.0, lambda: self._worker_pool.unlisted.add(gone)
         )
         if self._rng.random() < 0.5:
             self._add_worker()
@@ -319,36 +323,41 @@
         number = self._worker_number
         self._worker_number += 1
         worker = TaskWorkerStandin(
-            life(number), self._plan_task, self._hall.journal, seed=number
+            life(number),
+            self._plan_task,
+            self._worker_pool.journal,
+            seed=number,
         )
         self._set_birth_reporting(worker)
-        self._hall.add(worker)
+        self._worker_pool.add(worker)
 
     def _unlist_worker(self) -> None:
         """Takes a running worker out of the directory for a while."""
         gone = self._rng.choice(self._alive())
-        self._hall.unlisted.add(gone)
+        self._worker_pool.unlisted.add(gone)
         if self._rng.random() < 0.5:
             names = self._rng.sample(sorted(_VMS), 3)
             for name in names:
-                self._hall.cut.setdefault(name, set()).add(gone)
+                self._worker_pool.cut.setdefault(name, set()).add(gone)
 
         def come_back() -> None:
-            if not self._hall.workers[gone].dead:
-                self._hall.unlisted.discard(gone)
+            if not self._worker_pool.workers[gone].dead:
+                self._worker_pool.unlisted.discard(gone)
 
         self._undo_later(f"vanished {gone}", _MAX_UNLISTED_SECONDS, come_back)
 
     def _hide_directory(self) -> None:
         """Makes the directory unavailable for a while."""
-        self._hall.directory_away = True
+        self._worker_pool.directory_away = True
         self._undo_later("directory", 4.0, self._show_directory)
 
     def _show_directory(self) -> None:
-        self._hall.directory_away = False
+        self._worker_pool.directory_away = False
 
     def _alive(self) -> list[str]:
-        return sorted(n for n, w in self._hall.workers.items() if not w.dead)
+        return sorted(
+            n for n, w in self._worker_pool.workers.items() if not w.dead
+        )
 
     def _undo_later(
         self, what: str, max_wait: float, undo: Callable[[], None]
@@ -377,11 +386,11 @@
         faults.refused, faults.lost, faults.late = set(), 0.0, 0.0
         while self._pending_undos:
             self._undo_now(next(iter(self._pending_undos)))
-        for cut in self._hall.cut.values():
+        for cut in self._worker_pool.cut.values():
             cut.clear()
-        for name, worker in self._hall.workers.items():
+        for name, worker in self._worker_pool.workers.items():
             if not worker.dead:
-                self._hall.unlisted.discard(name)
+                self._worker_pool.unlisted.discard(name)
         while len(self._alive()) < _MIN_WORKERS:
             self._add_worker()
 
@@ -393,7 +402,7 @@
             if job.startswith(_LASTING_JOB_PREFIX)
             for index in range(_TASK_COUNT)
         }
-        for worker in self._hall.workers.values():
+        for worker in self._worker_pool.workers.values():
             if not worker.dead:
                 for entry in worker.listing().running:
                     wanted.discard(str(entry.task))
--- a/tests/slow_vm.py
+++ b/tests/slow_vm.py
@@ -65,7 +65,7 @@
         self.factor = factor
         self._skipped = 1_000.0
         self._uncharged_seconds = 0.0
-        self._uncharged_depth = 0
+        self._excluded_block_depth = 0
         self._began = time.thread_time()
 
     def start_clock(self) -> None:
@@ -92,12 +92,12 @@
     def uncharged(self) -> Iterator[None]:
         """Excludes the processor time of the block from the clock."""
         began = time.thread_time()
-        self._uncharged_depth += 1
+        self._excluded_block_depth += 1
         try:
             yield
         finally:
-            self._uncharged_depth -= 1
-            if not self._uncharged_depth:
+            self._excluded_block_depth -= 1
+            if not self._excluded_block_depth:
                 self._uncharged_seconds += time.thread_time() - began
 
 
@@ -206,7 +206,7 @@
         return ChargedLink(worker, self._cut)
 
 
-class LargeHall(WorkerPool):
+class LargeWorkerPool(WorkerPool):
     """Workers of a large cell, with calls charged to the clock."""
 
     def access(self, vm: str) -> WorkerPoolAccess:
@@ -214,11 +214,11 @@
         return _ChargedAccess(self, self.cut.setdefault(vm, set()))
 
 
-def make_large_hall(
+def make_large_worker_pool(
     clock: ChargingClock, workers: int, plan: Callable[[TaskName], TaskPlan]
-) -> LargeHall:
+) -> LargeWorkerPool:
     """Returns stand-in workers of 32 cores each."""
-    hall = LargeHall()
+    worker_pool = LargeWorkerPool()
     for number in range(workers):
         rack = f"r{number // _WORKERS_PER_RACK}"
         listed = WorkerLife(
@@ -233,9 +233,11 @@
             0.0,
             born=1,
         )
-        worker = UnchargedWorker(clock, listed, plan, hall.journal, number)
-        hall.add(worker)
-    return hall
+        worker = UnchargedWorker(
+            clock, listed, plan, worker_pool.journal, number
+        )
+        worker_pool.add(worker)
+    return worker_pool
 
 
 def plan_of(name: TaskName) -> TaskPlan:
--- a/tests/test_absent_workers.py
+++ b/tests/test_absent_workers.py
@@ -19,8 +19,8 @@
 from tests.owner_fixtures import (
     QUEUE,
     find_overlapping_starts,
-    make_hall,
     make_owner,
+    make_worker_pool,
     running,
     spec,
     wait_until,
@@ -42,33 +42,33 @@
     return spec(StepSpec(_TASKS, _SIZE, lasting=True))
 
 
-def _find_running(hall: WorkerPool) -> dict[TaskName, str]:
+def _find_running(worker_pool: WorkerPool) -> dict[TaskName, str]:
     """Returns the worker ids of tasks that run on live workers."""
     found = {}
-    for worker in hall.workers.values():
+    for worker in worker_pool.workers.values():
         if not worker.dead:
             for entry in worker.listing().running:
                 found[entry.task] = worker.life.id
     return found
 
 
-def _all_running(hall: WorkerPool) -> bool:
-    return len(_find_running(hall)) == _TASKS
+def _all_running(worker_pool: WorkerPool) -> bool:
+    return len(_find_running(worker_pool)) == _TASKS
 
 
-def _remove_for_good(hall: WorkerPool, worker: str) -> None:
+def _remove_for_good(worker_pool: WorkerPool, worker: str) -> None:
     """Ends a worker for good: it is unlisted and doesn't answer."""
-    hall.workers[worker].crash()
-    hall.workers[worker].faults.silent = True
-    hall.unlisted.add(worker)
+    worker_pool.workers[worker].crash()
+    worker_pool.workers[worker].faults.silent = True
+    worker_pool.unlisted.add(worker)
 
 
-async def _wait_all_running(hall: WorkerPool, since: float) -> None:
+async def _wait_all_running(worker_pool: WorkerPool, since: float) -> None:
     """Waits until all tasks run, and checks the time since a worker left."""
-    await wait_until(lambda: _all_running(hall), timeout=60.0)
+    await wait_until(lambda: _all_running(worker_pool), timeout=60.0)
     took = trio.current_time() - since
     assert took < _MAX_DOWNTIME, f"away for {took:.1f} s"
-    assert not find_overlapping_starts(hall.journal)
+    assert not find_overlapping_starts(worker_pool.journal)
 
 
 async def _wait_for_owner(cell: VmCell, *names: str) -> Vm:
@@ -79,10 +79,10 @@
     return owners()[0]
 
 
-async def _submit(owner: Owner | None, hall: WorkerPool) -> None:
+async def _submit(owner: Owner | None, worker_pool: WorkerPool) -> None:
     assert owner is not None
     await owner.job_api.submit(_JOB, QUEUE, _watch_spec())
-    await wait_until(lambda: _all_running(hall))
+    await wait_until(lambda: _all_running(worker_pool))
     await trio.sleep(3.0)
 
 
@@ -92,38 +92,40 @@
     # LOST: the wait for former leases, 17.4 s, started anew with each of two
     # take-overs.
     cell = VmCell()
-    cell.hall = make_hall(4, _lasting)
+    cell.worker_pool = make_worker_pool(4, _lasting)
     async with cell.running():
         strong = cell.start("strong", STRONG)
         await _wait_for_owner(cell, "strong")
         for name in ("weak-1", "weak-2", "weak-3"):
             cell.start(name, WEAK)
-        await _submit(strong.election.owner, cell.hall)
+        await _submit(strong.election.owner, cell.worker_pool)
         cell.store.faults.refused = {"strong"}
         weak = await _wait_for_owner(cell, "weak-1", "weak-2", "weak-3")
         await trio.sleep(4.0)
-        left = next(iter(_find_running(cell.hall).values()))
-        _remove_for_good(cell.hall, left)
+        left = next(iter(_find_running(cell.worker_pool).values()))
+        _remove_for_good(cell.worker_pool, left)
         left_at = trio.current_time()
         cell.store.faults.refused = set()
         await _wait_for_owner(cell, "strong")
         assert weak.name != "strong" and len(cell.claims()) == 3
-        await _wait_all_running(cell.hall, left_at)
+        await _wait_all_running(cell.worker_pool, left_at)
 
 
 async def test_owners_in_a_row_wait_once_for_a_worker_that_left() -> None:
     # LOST: each owner waited for the lease from its own take-over on.
-    store, hall = StoreStandin(), make_hall(4, _lasting)
-    async with running(make_owner(store, hall, 1)) as owner:
-        await _submit(owner, hall)
-    async with running(make_owner(store, hall, 2, former_quiet=False)):
+    store, worker_pool = StoreStandin(), make_worker_pool(4, _lasting)
+    async with running(make_owner(store, worker_pool, 1)) as owner:
+        await _submit(owner, worker_pool)
+    async with running(make_owner(store, worker_pool, 2, former_quiet=False)):
         await trio.sleep(5.0)
-        left = next(iter(_find_running(hall).values()))
-        _remove_for_good(hall, left)
+        left = next(iter(_find_running(worker_pool).values()))
+        _remove_for_good(worker_pool, left)
         left_at = trio.current_time()
         await trio.sleep(1.5)
     for epoch in (3, 4):
-        async with running(make_owner(store, hall, epoch, former_quiet=False)):
+        async with running(
+            make_owner(store, worker_pool, epoch, former_quiet=False)
+        ):
             await trio.sleep(1.5)
-    async with running(make_owner(store, hall, 5, former_quiet=False)):
-        await _wait_all_running(hall, left_at)
+    async with running(make_owner(store, worker_pool, 5, former_quiet=False)):
+        await _wait_all_running(worker_pool, left_at)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -41,8 +41,8 @@
     CONFIG,
     QUEUE,
     chain,
-    make_hall,
     make_owner,
+    make_worker_pool,
     running,
 )
 
@@ -92,10 +92,12 @@
 
 @asynccontextmanager
 async def _overloaded_owner(
-    store: StoreStandin, hall: WorkerPool
+    store: StoreStandin, worker_pool: WorkerPool
 ) -> AsyncIterator[Owner]:
     """Runs an owner with completed work and a backlog of minutes."""
-    async with running(make_owner(store, hall, 1, config=_CONFIG)) as owner:
+    async with running(
+        make_owner(store, worker_pool, 1, config=_CONFIG)
+    ) as owner:
         for number in range(10):
             await owner.job_api.submit(f"done{number}", QUEUE, chain(8, 1))
         await trio.sleep(8)
@@ -110,8 +112,8 @@
 
 
 async def test_a_job_behind_minutes_of_work_is_refused_at_once() -> None:
-    store, hall = StoreStandin(), make_hall(2)
-    async with _overloaded_owner(store, hall) as owner:
+    store, worker_pool = StoreStandin(), make_worker_pool(2)
+    async with _overloaded_owner(store, worker_pool) as owner:
         refused = meters.total('jobs_refused_total{queue="later"}')
         began = trio.current_time()
         reply = await _submit(owner, "late", chain(2, 1))
@@ -136,11 +138,11 @@
 
 
 async def test_a_new_owner_refuses_nobody_at_first() -> None:
-    store, hall = StoreStandin(), make_hall(2)
-    async with _overloaded_owner(store, hall) as owner:
+    store, worker_pool = StoreStandin(), make_worker_pool(2)
+    async with _overloaded_owner(store, worker_pool) as owner:
         assert (await _submit(owner, "a", chain(2, 1))).retry_after
     async with running(
-        make_owner(store, hall, 2, vm="b", config=_CONFIG)
+        make_owner(store, worker_pool, 2, vm="b", config=_CONFIG)
     ) as owner:
         for tick in range(30):
             reply = await _submit(owner, f"b{tick}", chain(2, 1))
@@ -149,8 +151,10 @@
 
 
 async def test_without_a_backlog_nothing_is_refused() -> None:
-    store, hall = StoreStandin(), make_hall(4)
-    async with running(make_owner(store, hall, 1, config=_CONFIG)) as owner:
+    store, worker_pool = StoreStandin(), make_worker_pool(4)
+    async with running(
+        make_owner(store, worker_pool, 1, config=_CONFIG)
+    ) as owner:
         for number in range(60):
             reply = await _submit(owner, f"j{number}", chain(8, 1))
             assert reply.outcome is Outcome.OK
--- a/tests/test_changing_capacity.py
+++ b/tests/test_changing_capacity.py
@@ -54,14 +54,17 @@
     """Workers that don't enforce their capacity, and its changes over time."""
 
     def __init__(self, workers: int) -> None:
-        self.hall = WorkerPool()
+        self.worker_pool = WorkerPool()
         self.changes: dict[str, list[_CapacityChange]] = {}
         for number in range(workers):
             listed = life(number)
             self.changes[listed.id] = [_CapacityChange(0.0, WORKER_CAPACITY)]
-            self.hall.add(
+            self.worker_pool.add(
                 TaskWorkerStandin(
-                    listed, _plan, self.hall.journal, enforces_capacity=False
+                    listed,
+                    _plan,
+                    self.worker_pool.journal,
+                    enforces_capacity=False,
                 )
             )
 
@@ -77,7 +80,7 @@
         committed: Counter[str] = Counter()
         found = []
         for event in sorted(
-            self.hall.journal, key=lambda e: (e.at, e.what == "start")
+            self.worker_pool.journal, key=lambda e: (e.at, e.what == "start")
         ):
             if event.what == "start":
                 committed[event.worker] += SMALL.cpu
@@ -102,7 +105,7 @@
 
 @asynccontextmanager
 async def _owned(cell: _Cell, store: StoreStandin) -> AsyncIterator[Owner]:
-    owner = make_owner(store, cell.hall, 1, config=_UNGUARDED)
+    owner = make_owner(store, cell.worker_pool, 1, config=_UNGUARDED)
     async with running(owner):
         yield owner
 
@@ -110,7 +113,7 @@
 async def _vary_capacities(cell: _Cell, rng: random.Random) -> None:
     while True:
         await trio.sleep(rng.uniform(0.2, 1.0))
-        worker = rng.choice(list(cell.hall.workers.values()))
+        worker = rng.choice(list(cell.worker_pool.workers.values()))
         cell.change(worker, rng.choice([0.25, 0.5, 0.75, 1.0]))
 
 
@@ -128,7 +131,7 @@
                 await owner.job_api.submit(job, QUEUE, chain(3, 2))
                 await trio.sleep(rng.uniform(0.0, 0.4))
             nursery.cancel_scope.cancel()
-        for worker in cell.hall.workers.values():
+        for worker in cell.worker_pool.workers.values():
             cell.change(worker, 1.0)
         await wait_until(
             lambda: all(
@@ -136,15 +139,15 @@
                 for job in jobs
             )
         )
-        await wait_until(lambda: _count_running_lasting(cell.hall) == 12)
+        await wait_until(lambda: _count_running_lasting(cell.worker_pool) == 12)
     assert not cell.find_overloads(), (seed, cell.find_overloads()[:3])
-    assert not find_overlapping_starts(cell.hall.journal)
-    assert not find_starts_after_success(cell.hall.journal)
+    assert not find_overlapping_starts(cell.worker_pool.journal)
+    assert not find_starts_after_success(cell.worker_pool.journal)
 
 
-def _count_running_lasting(hall: WorkerPool) -> int:
+def _count_running_lasting(worker_pool: WorkerPool) -> int:
     ends: Counter[str] = Counter()
-    for event in hall.journal:
+    for event in worker_pool.journal:
         if event.task.job == "last" and not event.what.startswith("noted"):
             ends["start" if event.what == "start" else "end"] += 1
     return ends["start"] - ends["end"]
@@ -159,10 +162,10 @@
     # The second step is placed while the store is unavailable, on capacity that
     # is gone once the record of the decision is stored.
     store, cell = StoreStandin(), _Cell(1)
-    worker = next(iter(cell.hall.workers.values()))
+    worker = next(iter(cell.worker_pool.workers.values()))
     async with _owned(cell, store) as owner:
         await owner.job_api.submit("job", QUEUE, chain(8, 2))
-        await wait_until(lambda: count(cell.hall.journal, "start") == 8)
+        await wait_until(lambda: count(cell.worker_pool.journal, "start") == 8)
         store.faults.away = True
         await trio.sleep(2)
         cell.change(worker, 0.5)
@@ -176,16 +179,16 @@
 
 async def test_workers_of_a_directory_out_of_sight_are_not_filled_up() -> None:
     store, cell = StoreStandin(), _Cell(1)
-    worker = next(iter(cell.hall.workers.values()))
+    worker = next(iter(cell.worker_pool.workers.values()))
     async with _owned(cell, store) as owner:
-        cell.hall.directory_away = True
+        cell.worker_pool.directory_away = True
         await trio.sleep(1)
         cell.change(worker, 0.25)
         await trio.sleep(_MAX_CAPACITY_AGE)
         await owner.job_api.submit("job", QUEUE, chain(8, 1))
         await trio.sleep(3)
         assert not cell.find_overloads()
-        cell.hall.directory_away = False
+        cell.worker_pool.directory_away = False
         await wait_until(
             lambda: owner.job_api.state("job").state is JobState.COMPLETED
         )
--- a/tests/test_collecting.py
+++ b/tests/test_collecting.py
@@ -26,7 +26,13 @@
 from pimentocross.standins.store import StoreStandin
 from pimentocross.work import records
 from pimentocross.work.state import Job, JobState
-from tests.owner_fixtures import QUEUE, chain, make_hall, make_owner, running
+from tests.owner_fixtures import (
+    QUEUE,
+    chain,
+    make_owner,
+    make_worker_pool,
+    running,
+)
 from tests.platform_fixtures import write_settings
 
 _OBJECTS = 100_000
@@ -109,7 +115,7 @@
 async def test_an_owner_looks_for_cycles_only_in_what_is_new() -> None:
     store = StoreStandin()
     store.append_now("jobs", _submissions(), None, None)
-    owner = make_owner(store, make_hall(), 1)
+    owner = make_owner(store, make_worker_pool(), 1)
     gc.collect()
     async with running(owner):
         examined_after_take_over = len(gc.get_objects())
@@ -130,7 +136,9 @@
 
 async def test_what_an_owner_left_is_collected_under_the_next() -> None:
     was_enabled = gc.isenabled()
-    async with running(make_owner(StoreStandin(), make_hall(), 1)) as owner:
+    async with running(
+        make_owner(StoreStandin(), make_worker_pool(), 1)
+    ) as owner:
         await owner.job_api.submit("j", QUEUE, chain())
         kept = [o for o in gc.get_objects() if isinstance(o, Job)]
         jobs_left = [weakref.ref(job) for job in kept if job.id == "j"]
@@ -139,7 +147,7 @@
     # No collection runs between the two owners.
     gc.disable()
     try:
-        owner = make_owner(StoreStandin(), make_hall(), 1)
+        owner = make_owner(StoreStandin(), make_worker_pool(), 1)
         async with running(owner):
             assert [job for job in jobs_left if job() is not None]
             gc.collect()
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -41,8 +41,8 @@
     count,
     find_starts_after_success,
     life,
-    make_hall,
     make_owner,
+    make_worker_pool,
     running,
     spec,
     wait_until,
@@ -231,22 +231,22 @@
     plans: _Plans, store: StoreStandin | None = None
 ) -> AsyncIterator[tuple[WorkerPool, Owner]]:
     """Runs an owner with a job whose first task is slow enough for a copy."""
-    hall = make_hall(4, plans)
+    worker_pool = make_worker_pool(4, plans)
     seen = mock.patch.object(Durations, "has_stragglers", lambda *_: True)
     with mock.patch.object(wall, "now", trio.current_time), seen:
         async with running(
-            make_owner(store or StoreStandin(), hall, 1)
+            make_owner(store or StoreStandin(), worker_pool, 1)
         ) as owner:
             await owner.settled.wait()
             await owner.job_api.submit("j", QUEUE, spec(_STEP))
-            yield hall, owner
+            yield worker_pool, owner
 
 
-def _events(hall: WorkerPool, run: int, *whats: str) -> list[RunEvent]:
+def _events(worker_pool: WorkerPool, run: int, *whats: str) -> list[RunEvent]:
     """Returns the events of some kinds of a run of the long task."""
     return [
         event
-        for event in hall.journal
+        for event in worker_pool.journal
         if event.task.position == 0
         and event.run == run
         and (event.what in whats)
@@ -257,92 +257,92 @@
     return lambda: owner.job_api.state("j").state is JobState.COMPLETED
 
 
-async def _wait_for_copy(hall: WorkerPool) -> None:
-    await wait_until(lambda: bool(_events(hall, 2, "start")))
+async def _wait_for_copy(worker_pool: WorkerPool) -> None:
+    await wait_until(lambda: bool(_events(worker_pool, 2, "start")))
 
 
-def _check_settled(hall: WorkerPool) -> None:
+def _check_settled(worker_pool: WorkerPool) -> None:
     """Checks that no run is left or began after its task had ended."""
-    for worker in hall.workers.values():
+    for worker in worker_pool.workers.values():
         assert worker.committed == Size(0, 0, 0)
-    assert not find_starts_after_success(hall.journal)
+    assert not find_starts_after_success(worker_pool.journal)
 
 
 async def test_a_copy_ends_its_step_and_the_other_run_is_stopped() -> None:
-    async with _cell(_Plans()) as (hall, owner):
+    async with _cell(_Plans()) as (worker_pool, owner):
         began = trio.current_time()
         await wait_until(_ended(owner))
         assert trio.current_time() - began < _LONG / 2 + 0.6
         await trio.sleep(0.5)
-        assert _events(hall, 1, "stopped")
-        _check_settled(hall)
-        assert count(hall.journal, "start") == 11
+        assert _events(worker_pool, 1, "stopped")
+        _check_settled(worker_pool)
+        assert count(worker_pool.journal, "start") == 11
 
 
 async def test_the_original_ends_first_and_its_copy_is_stopped() -> None:
-    async with _cell(_Plans(TaskPlan(9.0, SMALL))) as (hall, owner):
+    async with _cell(_Plans(TaskPlan(9.0, SMALL))) as (worker_pool, owner):
         await wait_until(_ended(owner))
         await trio.sleep(0.5)
-        assert _events(hall, 1, "done")
-        assert _events(hall, 2, "stopped")
-        _check_settled(hall)
+        assert _events(worker_pool, 1, "done")
+        assert _events(worker_pool, 2, "stopped")
+        _check_settled(worker_pool)
 
 
 async def test_a_copy_that_fails_leaves_the_original_to_end() -> None:
     fails = TaskPlan(_USUAL, SMALL, fails=True)
-    async with _cell(_Plans(fails)) as (hall, owner):
+    async with _cell(_Plans(fails)) as (worker_pool, owner):
         await wait_until(_ended(owner))
-        assert _events(hall, 2, "failed")
+        assert _events(worker_pool, 2, "failed")
         await trio.sleep(0.5)
-        _check_settled(hall)
+        _check_settled(worker_pool)
 
 
 async def test_a_copy_whose_worker_crashes_takes_no_run_along() -> None:
     crashes = TaskPlan(_USUAL, SMALL, crashes_after=0.2)
-    async with _cell(_Plans(crashes)) as (hall, owner):
-        await _wait_for_copy(hall)
+    async with _cell(_Plans(crashes)) as (worker_pool, owner):
+        await _wait_for_copy(worker_pool)
         await wait_until(_ended(owner))
-        assert _events(hall, 2, "crashed")
-        assert len(_events(hall, 1, "start")) == 1
+        assert _events(worker_pool, 2, "crashed")
+        assert len(_events(worker_pool, 1, "start")) == 1
 
 
 async def test_a_cancel_stops_both_runs() -> None:
-    async with _cell(_Plans(TaskPlan(9.0, SMALL))) as (hall, owner):
-        await _wait_for_copy(hall)
+    async with _cell(_Plans(TaskPlan(9.0, SMALL))) as (worker_pool, owner):
+        await _wait_for_copy(worker_pool)
         await owner.job_api.cancel("j")
         await trio.sleep(1.0)
-        assert _events(hall, 1, "stopped")
-        assert _events(hall, 2, "stopped")
-        _check_settled(hall)
+        assert _events(worker_pool, 1, "stopped")
+        assert _events(worker_pool, 2, "stopped")
+        _check_settled(worker_pool)
 
 
 async def test_a_new_owner_finds_both_runs_and_stops_the_second_to_end() -> (
     None
 ):
     store = StoreStandin()
-    async with _cell(_Plans(TaskPlan(1.5, SMALL)), store) as (hall, _):
-        await _wait_for_copy(hall)
+    async with _cell(_Plans(TaskPlan(1.5, SMALL)), store) as (worker_pool, _):
+        await _wait_for_copy(worker_pool)
     with mock.patch.object(wall, "now", trio.current_time):
-        async with running(make_owner(store, hall, 2, vm="b")) as owner:
+        async with running(make_owner(store, worker_pool, 2, vm="b")) as owner:
             await wait_until(_ended(owner))
             await trio.sleep(0.5)
-    assert _events(hall, 2, "done")
-    assert _events(hall, 1, "stopped")
-    _check_settled(hall)
+    assert _events(worker_pool, 2, "done")
+    assert _events(worker_pool, 1, "stopped")
+    _check_settled(worker_pool)
 
 
 async def test_a_copy_that_was_recorded_and_not_sent_is_given_up() -> None:
     store = StoreStandin()
-    async with _cell(_Plans(), store) as (hall, _):
-        await wait_until(lambda: count(hall.journal, "start") == 10)
-        for worker in hall.workers.values():
+    async with _cell(_Plans(), store) as (worker_pool, _):
+        await wait_until(lambda: count(worker_pool.journal, "start") == 10)
+        for worker in worker_pool.workers.values():
             worker.faults.lost = 0.0
             worker.faults.late = 1.0
         await trio.sleep(1.6)
-    for worker in hall.workers.values():
+    for worker in worker_pool.workers.values():
         worker.faults.late = 0.0
     with mock.patch.object(wall, "now", trio.current_time):
-        async with running(make_owner(store, hall, 2, vm="b")) as owner:
+        async with running(make_owner(store, worker_pool, 2, vm="b")) as owner:
             await wait_until(_ended(owner))
             await trio.sleep(13.0)
-    _check_settled(hall)
+    _check_settled(worker_pool)
--- a/tests/test_counted_anew.py
+++ b/tests/test_counted_anew.py
@@ -30,8 +30,8 @@
     count,
     find_overlapping_starts,
     life,
-    make_hall,
     make_owner,
+    make_worker_pool,
     running,
     spec,
     wait_until,
@@ -48,9 +48,9 @@
     return TaskPlan(RUNS_FOREVER, SMALL)
 
 
-def _worker_of(hall: WorkerPool, job: str) -> str:
+def _worker_of(worker_pool: WorkerPool, job: str) -> str:
     """Returns a live worker that runs a task of a job, or "" if none does."""
-    for worker in hall.workers.values():
+    for worker in worker_pool.workers.values():
         if not worker.dead:
             for entry in worker.listing().running:
                 if entry.task.job == job:
@@ -61,9 +61,9 @@
 class _OwnerSeries:
     """Successive owners of one cell."""
 
-    def __init__(self, hall: WorkerPool) -> None:
+    def __init__(self, worker_pool: WorkerPool) -> None:
         self.store = StoreStandin()
-        self._hall = hall
+        self._worker_pool = worker_pool
         self._epoch = 0
         self._stack = AsyncExitStack()
         self._owner: Owner | None = None
@@ -78,7 +78,7 @@
         """Kills the present owner, if there is one, and starts the next one."""
         await self.end()
         self._epoch += 1
-        owner = make_owner(self.store, self._hall, self._epoch)
+        owner = make_owner(self.store, self._worker_pool, self._epoch)
         self._owner = await self._stack.enter_async_context(running(owner))
 
     async def end(self) -> None:
@@ -88,9 +88,9 @@
 
 
 @asynccontextmanager
-async def _owning(hall: WorkerPool) -> AsyncIterator[_OwnerSeries]:
+async def _owning(worker_pool: WorkerPool) -> AsyncIterator[_OwnerSeries]:
     """Starts a first owner. The last one is killed after the block."""
-    owners = _OwnerSeries(hall)
+    owners = _OwnerSeries(worker_pool)
     await owners.start_next()
     try:
         await trio.sleep(0.5)
@@ -99,38 +99,42 @@
         await owners.end()
 
 
-def _replace(hall: WorkerPool, worker: str, generation: int) -> None:
+def _replace(worker_pool: WorkerPool, worker: str, generation: int) -> None:
     """Crashes a worker, whose VM has another life at once."""
-    old = hall.workers.pop(worker)
+    old = worker_pool.workers.pop(worker)
     old.crash()
     old.down = False
     number = int(old.life.machine[1:])
     new = life(number, generation)._replace(
         born=old.life.born + 1, labels=old.life.labels
     )
-    hall.add(
-        TaskWorkerStandin(new, _lasting, hall.journal, seed=generation + number)
+    worker_pool.add(
+        TaskWorkerStandin(
+            new, _lasting, worker_pool.journal, seed=generation + number
+        )
     )
 
 
 async def _simulate_storm(*, take_overs: bool) -> JobState | None:
     """Returns the state of a job that caused none of a series of crashes."""
-    hall = make_hall(12, _lasting)
-    for number, worker in enumerate(hall.workers.values()):
+    worker_pool = make_worker_pool(12, _lasting)
+    for number, worker in enumerate(worker_pool.workers.values()):
         worker.life = worker.life._replace(labels=("kind", f"r{number}"))
-    async with _owning(hall) as owners:
+    async with _owning(worker_pool) as owners:
         await owners.owner.job_api.submit("watch", QUEUE, _LASTING)
         for generation in range(1, 6):
             await trio.sleep(2.0)
-            if not _worker_of(hall, "watch"):
+            if not _worker_of(worker_pool, "watch"):
                 break
             if take_overs:
                 await owners.start_next()
             await trio.sleep(0.4)
-            crashed = _worker_of(hall, "watch")
-            others = [name for name in sorted(hall.workers) if name != crashed]
+            crashed = _worker_of(worker_pool, "watch")
+            others = [
+                name for name in sorted(worker_pool.workers) if name != crashed
+            ]
             for name in [crashed, *others[:3]]:
-                _replace(hall, name, generation)
+                _replace(worker_pool, name, generation)
         await trio.sleep(2.0)
         return owners.owner.job_api.state("watch").state
 
@@ -158,37 +162,41 @@
         after = 4.6 if starts[name.job] <= 3 else NEVER
         return TaskPlan(100.0, SMALL, crashes_after=after)
 
-    hall = make_hall(2, plan)
-    async with _owning(hall) as owners:
+    worker_pool = make_worker_pool(2, plan)
+    async with _owning(worker_pool) as owners:
         job_api = owners.owner.job_api
         suspect = spec(StepSpec(1, SMALL, 100.0))
         await job_api.submit("suspect", QUEUE, suspect)
         for generation in range(1, 4):
-            await wait_until(lambda: any(w.down for w in hall.workers.values()))
-            crashed = next(n for n, w in hall.workers.items() if w.down)
-            old = hall.workers.pop(crashed)
+            await wait_until(
+                lambda: any(w.down for w in worker_pool.workers.values())
+            )
+            crashed = next(n for n, w in worker_pool.workers.items() if w.down)
+            old = worker_pool.workers.pop(crashed)
             old.down = False
             number = int(old.life.machine[1:])
             new = life(number, generation)._replace(born=old.life.born + 1)
-            hall.add(
-                TaskWorkerStandin(new, plan, hall.journal, seed=10 * generation)
+            worker_pool.add(
+                TaskWorkerStandin(
+                    new, plan, worker_pool.journal, seed=10 * generation
+                )
             )
-        await wait_until(lambda: bool(_worker_of(hall, "suspect")))
+        await wait_until(lambda: bool(_worker_of(worker_pool, "suspect")))
         # The other worker is full, so the next job only fits beside that run.
         await job_api.submit("watch", QUEUE, _FOUR_LARGE_TASKS)
         began = trio.current_time()
-        while _count_listed(hall, "watch") < 4:
+        while _count_listed(worker_pool, "watch") < 4:
             await owners.start_next()
             await trio.sleep(5.0)
             took = trio.current_time() - began
             assert took < 3 * _RUNNING_WITHIN, took
 
 
-def _count_listed(hall: WorkerPool, job: str) -> int:
+def _count_listed(worker_pool: WorkerPool, job: str) -> int:
     """Returns how many tasks of a job run on live workers."""
     return sum(
         entry.task.job == job
-        for worker in hall.workers.values()
+        for worker in worker_pool.workers.values()
         if not worker.dead
         for entry in worker.listing().running
     )
@@ -197,20 +205,20 @@
 async def test_a_start_in_flight_at_a_take_over_keeps_nothing_away() -> None:
     # Guards against a lost job: the task must not be held for 12.8 s from the
     # take-over, as the worker reports that the run isn't there.
-    hall = make_hall(2, _lasting)
+    worker_pool = make_worker_pool(2, _lasting)
     with mock.patch.object(wall, "now", trio.current_time):
-        async with _owning(hall) as owners:
-            for worker in hall.workers.values():
+        async with _owning(worker_pool) as owners:
+            for worker in worker_pool.workers.values():
                 worker.faults.silent = True
             await owners.owner.job_api.submit("watch", QUEUE, _LASTING)
             # The start is decided on and recorded but has reached no worker.
             await trio.sleep(0.1)
             await owners.end()
-            for worker in hall.workers.values():
+            for worker in worker_pool.workers.values():
                 worker.faults.silent = False
             await owners.start_next()
             await wait_until(
-                lambda: bool(_worker_of(hall, "watch")), _RUNNING_WITHIN
+                lambda: bool(_worker_of(worker_pool, "watch")), _RUNNING_WITHIN
             )
 
 
@@ -220,10 +228,10 @@
     Args:
         ahead: How far the new owner's clock is ahead, in seconds.
     """
-    store, hall = StoreStandin(), make_hall(1, _lasting)
-    hall.access("b")
-    worker = hall.workers[life(0).id]
-    async with running(make_owner(store, hall, 1)) as owner:
+    store, worker_pool = StoreStandin(), make_worker_pool(1, _lasting)
+    worker_pool.access("b")
+    worker = worker_pool.workers[life(0).id]
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await trio.sleep(0.5)
         worker.faults.late = 1.0
         last = mock.Mock(return_value=const.LATE_START_WINDOW - 0.1)
@@ -232,24 +240,26 @@
             await trio.sleep(0.2)
         sent_at = trio.current_time()
         worker.faults.late = 0.0
-        hall.cut["a"].add(worker.life.id)
+        worker_pool.cut["a"].add(worker.life.id)
         await trio.sleep(2.0)
     # The next life has received no token, and the new owner finds it only after
     # the start was carried out.
     worker.restart()
-    hall.cut["b"].add(worker.life.id)
-    hall.unlisted.add(worker.life.id)
-    hall.add(TaskWorkerStandin(life(1), _lasting, hall.journal, seed=1))
+    worker_pool.cut["b"].add(worker.life.id)
+    worker_pool.unlisted.add(worker.life.id)
+    worker_pool.add(
+        TaskWorkerStandin(life(1), _lasting, worker_pool.journal, seed=1)
+    )
     clock = mock.Mock(side_effect=lambda: trio.current_time() + ahead)
     with mock.patch.object(wall, "now", clock):
-        async with running(make_owner(store, hall, 2, vm="b")):
+        async with running(make_owner(store, worker_pool, 2, vm="b")):
             await trio.sleep_until(sent_at + const.LATE_START_WINDOW)
-            hall.cut["b"].clear()
-            hall.unlisted.clear()
+            worker_pool.cut["b"].clear()
+            worker_pool.unlisted.clear()
             await trio.sleep(5.0)
-    assert count(hall.journal, "start"), "nothing began"
-    assert not find_overlapping_starts(hall.journal), find_overlapping_starts(
-        hall.journal
+    assert count(worker_pool.journal, "start"), "nothing began"
+    assert not find_overlapping_starts(worker_pool.journal), (
+        find_overlapping_starts(worker_pool.journal)
     )
 
 
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -91,15 +91,17 @@
     keeps_ids: bool = False,
 ) -> AsyncIterator[WorkerPool]:
     """Runs workers in racks. Crashed workers come back."""
-    hall = WorkerPool()
+    worker_pool = WorkerPool()
     for number in range(workers):
         listed = life(number, rack=f"r{number // _RACK_SIZE}")
-        hall.add(TaskWorkerStandin(listed, _plan, hall.journal, seed=number))
+        worker_pool.add(
+            TaskWorkerStandin(listed, _plan, worker_pool.journal, seed=number)
+        )
     async with trio.open_nursery() as nursery:
         nursery.start_soon(
-            Supervisor(hall, _plan, down, keeps_ids=keeps_ids).run
+            Supervisor(worker_pool, _plan, down, keeps_ids=keeps_ids).run
         )
-        yield hall
+        yield worker_pool
         nursery.cancel_scope.cancel()
 
 
@@ -108,9 +110,9 @@
     workers: int, *, keeps_ids: bool = False
 ) -> AsyncIterator[tuple[Owner, WorkerPool]]:
     """Runs an owner with the workers of `_cell`."""
-    async with _cell(workers, keeps_ids=keeps_ids) as hall:
-        async with running(make_owner(StoreStandin(), hall, 1)) as owner:
-            yield owner, hall
+    async with _cell(workers, keeps_ids=keeps_ids) as worker_pool:
+        async with running(make_owner(StoreStandin(), worker_pool, 1)) as owner:
+            yield owner, worker_pool
 
 
 def _states(owner: Owner, jobs: Sequence[str]) -> set[JobState | None]:
@@ -126,10 +128,10 @@
     return jobs
 
 
-def _check_journal(hall: WorkerPool) -> None:
-    assert not find_crash_loops(hall.journal)
-    assert not find_overlapping_starts(hall.journal)
-    assert not find_starts_after_success(hall.journal)
+def _check_journal(worker_pool: WorkerPool) -> None:
+    assert not find_crash_loops(worker_pool.journal)
+    assert not find_overlapping_starts(worker_pool.journal)
+    assert not find_starts_after_success(worker_pool.journal)
 
 
 async def test_a_task_that_crashes_its_workers_is_given_up() -> None:
@@ -149,60 +151,68 @@
 
 
 async def _simulate_small_cell() -> None:
-    async with _owned_cell(12) as (owner, hall):
+    async with _owned_cell(12) as (owner, worker_pool):
         crashing = [f"crash-{number}" for number in range(6)]
         for job in crashing:
             await owner.job_api.submit(job, QUEUE, chain(3, 1))
         jobs = await _submit_stream(owner, 60)
         await trio.sleep(_ENDED_AFTER)
-        _check_journal(hall)
+        _check_journal(worker_pool)
         assert _states(owner, crashing) == {JobState.FAILED}
         assert _states(owner, jobs) == {JobState.COMPLETED}
-    crashes = Counter(e.task for e in hall.journal if e.what == "crashed")
+    crashes = Counter(
+        e.task for e in worker_pool.journal if e.what == "crashed"
+    )
     assert max(crashes.values()) <= 3, crashes
 
 
 async def _simulate_one_crashing_task(*, keeps_ids: bool) -> None:
-    async with _owned_cell(6, keeps_ids=keeps_ids) as (owner, hall):
+    async with _owned_cell(6, keeps_ids=keeps_ids) as (owner, worker_pool):
         await owner.job_api.submit("crash", QUEUE, chain(3, 2))
         jobs = await _submit_stream(owner, 100)
         await trio.sleep(_ENDED_AFTER)
-        _check_journal(hall)
+        _check_journal(worker_pool)
         assert owner.job_api.state("crash").state is JobState.FAILED
         assert _states(owner, jobs) == {JobState.COMPLETED}
-    assert all(e.task.step == 0 for e in hall.journal if e.task.job == "crash")
+    assert all(
+        e.task.step == 0 for e in worker_pool.journal if e.task.job == "crash"
+    )
 
 
 async def _simulate_storm(culprits: int, seed: int) -> None:
     """Simulates crashing tasks that start together while a rack goes down."""
     draw = random.Random(seed)
-    async with _owned_cell(3 * _RACK_SIZE) as (owner, hall):
+    async with _owned_cell(3 * _RACK_SIZE) as (owner, worker_pool):
         lasting = [f"{number}-lasting" for number in range(6)]
         for job in lasting:
             await owner.job_api.submit(job, QUEUE, spec(_LASTING))
         crashing = [f"crash-{number}" for number in range(culprits)]
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_crash_rack, hall, draw.uniform(1.0, 9.0), draw)
+            nursery.start_soon(
+                _crash_rack, worker_pool, draw.uniform(1.0, 9.0), draw
+            )
             for job in crashing:
                 nursery.start_soon(
                     owner.job_api.submit, job, QUEUE, chain(3, 1)
                 )
             jobs = await _submit_stream(owner, 60)
         await trio.sleep(_ENDED_AFTER)
-        _check_journal(hall)
+        _check_journal(worker_pool)
         assert _states(owner, crashing) == {JobState.FAILED}
         assert _states(owner, jobs) == {JobState.COMPLETED}
         assert _states(owner, lasting) == {JobState.RUNNING}
-    crashes = Counter(e.task for e in hall.journal if e.what == "crashed")
+    crashes = Counter(
+        e.task for e in worker_pool.journal if e.what == "crashed"
+    )
     assert sum(crashes.values()) < 3 * culprits, crashes
 
 
 async def _crash_rack(
-    hall: WorkerPool, after: float, draw: random.Random
+    worker_pool: WorkerPool, after: float, draw: random.Random
 ) -> None:
     await trio.sleep(after)
     rack = f"r{draw.randrange(3)}"
-    for worker in list(hall.workers.values()):
+    for worker in list(worker_pool.workers.values()):
         if worker.life.rack == rack and not worker.dead:
             worker.crash()
             worker.down = True
@@ -222,22 +232,24 @@
         "crash-timed": timed,
         "crash-next": chain(2, 3),
     }
-    async with _owned_cell(3 * _RACK_SIZE) as (owner, hall):
+    async with _owned_cell(3 * _RACK_SIZE) as (owner, worker_pool):
         for job, asked in kinds.items():
             await owner.job_api.submit(job, QUEUE, asked)
         await trio.sleep(_ENDED_AFTER)
         states = {job: owner.job_api.state(job).state for job in kinds}
         assert set(states.values()) == {JobState.FAILED}, states
-        assert not any(worker.committed.cpu for worker in hall.workers.values())
-        _check_journal(hall)
+        assert not any(
+            worker.committed.cpu for worker in worker_pool.workers.values()
+        )
+        _check_journal(worker_pool)
 
 
 async def test_a_task_that_crashes_its_workers_late_is_given_up() -> None:
-    async with _owned_cell(_RACK_SIZE) as (owner, hall):
+    async with _owned_cell(_RACK_SIZE) as (owner, worker_pool):
         await owner.job_api.submit("later", QUEUE, chain(3, 1))
         jobs = await _submit_stream(owner, 100)
         await trio.sleep(2 * _ENDED_AFTER)
-        _check_journal(hall)
+        _check_journal(worker_pool)
         assert owner.job_api.state("later").state is JobState.FAILED
         assert _states(owner, jobs) == {JobState.COMPLETED}
 
@@ -245,20 +257,22 @@
 async def test_workers_that_stay_down_for_long_hide_no_crash_loop() -> None:
     # The lease of each run lapses before its worker is known to be back.
     for least in (6.0, 8.0, 12.0, 20.0):
-        async with _cell(12, DownTime(least, least + 1.0)) as hall:
-            async with running(make_owner(StoreStandin(), hall, 1)) as owner:
+        async with _cell(12, DownTime(least, least + 1.0)) as worker_pool:
+            async with running(
+                make_owner(StoreStandin(), worker_pool, 1)
+            ) as owner:
                 await owner.job_api.submit("crash", QUEUE, chain(3, 1))
                 await trio.sleep(150)
-                _check_journal(hall)
+                _check_journal(worker_pool)
                 state = owner.job_api.state("crash").state
                 assert state is JobState.FAILED, least
 
 
 async def test_crashes_are_counted_on_by_a_new_owner() -> None:
     store = StoreStandin()
-    async with _cell(_RACK_SIZE) as hall:
+    async with _cell(_RACK_SIZE) as worker_pool:
         for epoch in range(1, 12):
-            owner = make_owner(store, hall, epoch, former_quiet=False)
+            owner = make_owner(store, worker_pool, epoch, former_quiet=False)
             async with running(owner):
                 if epoch == 1:
                     await owner.job_api.submit("crash", QUEUE, chain(3, 1))
@@ -266,8 +280,8 @@
                 await trio.sleep(1.0 + 0.7 * epoch)
                 state = owner.job_api.state("crash").state
         assert state is JobState.FAILED
-        _check_journal(hall)
-        assert count(hall.journal, "crashed") <= 5
+        _check_journal(worker_pool)
+        assert count(worker_pool.journal, "crashed") <= 5
 
 
 def test_restarts_in_series_give_no_lasting_job_up() -> None:
@@ -278,7 +292,7 @@
 
 async def _simulate_restarts(seed: int) -> None:
     draw = random.Random(seed)
-    async with _owned_cell(24, keeps_ids=True) as (owner, hall):
+    async with _owned_cell(24, keeps_ids=True) as (owner, worker_pool):
         lasting = [f"{number}-lasting" for number in range(8)]
         for job in lasting:
             await owner.job_api.submit(job, QUEUE, spec(_LASTING))
@@ -289,11 +303,11 @@
         while trio.current_time() < ends_at:
             # Each worker restarts every 17 s on average.
             await trio.sleep(draw.expovariate(1.44))
-            worker = draw.choice(list(hall.workers.values()))
+            worker = draw.choice(list(worker_pool.workers.values()))
             if not worker.dead:
                 worker.restart()
         await trio.sleep(_ENDED_AFTER)
-        _check_journal(hall)
+        _check_journal(worker_pool)
         assert _states(owner, lasting) == {JobState.RUNNING}, seed
         assert _states(owner, crashing) == {JobState.FAILED}
 
@@ -303,15 +317,17 @@
         return False
 
     with mock.patch.object(Worker, "is_proven", busy):
-        async with _owned_cell(2) as (owner, hall):
+        async with _owned_cell(2) as (owner, worker_pool):
             step = _LASTING._replace(width=1)
             await owner.job_api.submit("0-lasting", QUEUE, spec(step))
-            await wait_until(lambda: _starts(hall, "0-lasting") == 1)
-            worker = hall.workers[hall.journal[0].worker]
+            await wait_until(lambda: _starts(worker_pool, "0-lasting") == 1)
+            worker = worker_pool.workers[worker_pool.journal[0].worker]
             worker.crash()
             worker.restart()
             crashed_at = trio.current_time()
-            await wait_until(lambda: _starts(hall, "0-lasting") == 2, 5.0)
+            await wait_until(
+                lambda: _starts(worker_pool, "0-lasting") == 2, 5.0
+            )
             # An earlier start would mean that it did not wait for isolation.
             assert trio.current_time() - crashed_at > 1.0
 
@@ -326,23 +342,27 @@
     assert is_proven.call_count <= 32
 
 
-def _starts(hall: WorkerPool, job: str) -> int:
-    return sum(e.what == "start" and e.task.job == job for e in hall.journal)
+def _starts(worker_pool: WorkerPool, job: str) -> int:
+    return sum(
+        e.what == "start" and e.task.job == job for e in worker_pool.journal
+    )
 
 
 async def test_a_worker_that_is_cut_off_or_leaves_is_no_crash() -> None:
     store = StoreStandin()
-    async with _cell(4) as hall:
-        owner = make_owner(store, hall, 1, vm="a")
+    async with _cell(4) as worker_pool:
+        owner = make_owner(store, worker_pool, 1, vm="a")
         async with running(owner):
             await owner.job_api.submit("0-lasting", QUEUE, spec(_LASTING))
-            await wait_until(lambda: count(hall.journal, "start") == 6)
-            cut = hall.journal[0].worker
-            hall.cut["a"].add(cut)
-            await wait_until(lambda: count(hall.journal, "lapsed") > 0)
-            hall.cut["a"].clear()
+            await wait_until(lambda: count(worker_pool.journal, "start") == 6)
+            cut = worker_pool.journal[0].worker
+            worker_pool.cut["a"].add(cut)
+            await wait_until(lambda: count(worker_pool.journal, "lapsed") > 0)
+            worker_pool.cut["a"].clear()
             await trio.sleep(3)
-            leaving = next(w for w in hall.workers.values() if w.committed.cpu)
+            leaving = next(
+                w for w in worker_pool.workers.values() if w.committed.cpu
+            )
             leaving.life = leaving.life._replace(draining=True, remaining=0.1)
             await trio.sleep(0.6)
             leaving.crash()
--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -35,8 +35,8 @@
     chain,
     count,
     life,
-    make_hall,
     make_owner,
+    make_worker_pool,
     running,
     spec,
     wait_until,
@@ -58,10 +58,12 @@
 @asynccontextmanager
 async def _cell(down: float) -> AsyncIterator[tuple[StoreStandin, WorkerPool]]:
     """Runs workers that come back under new ids after `down` seconds."""
-    hall = make_hall(4, _plan)
+    worker_pool = make_worker_pool(4, _plan)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(Supervisor(hall, _plan, DownTime(down, down)).run)
-        yield StoreStandin(), hall
+        nursery.start_soon(
+            Supervisor(worker_pool, _plan, DownTime(down, down)).run
+        )
+        yield StoreStandin(), worker_pool
         nursery.cancel_scope.cancel()
 
 
@@ -79,74 +81,74 @@
 
 
 async def test_a_new_owner_knows_how_soon_a_worker_went() -> None:
-    async with _cell(down=2.0) as (store, hall):
-        async with running(make_owner(store, hall, 1)) as owner:
+    async with _cell(down=2.0) as (store, worker_pool):
+        async with running(make_owner(store, worker_pool, 1)) as owner:
             await owner.job_api.submit(_JOB, QUEUE, chain(1, 1))
-            await wait_until(lambda: count(hall.journal, "crashed") == 1)
+            await wait_until(lambda: count(worker_pool.journal, "crashed") == 1)
             await trio.sleep(0.2)
         assert await _history(store) == CrashHistory()
-        async with running(make_owner(store, hall, 2)):
+        async with running(make_owner(store, worker_pool, 2)):
             await trio.sleep(0.5)
             assert await _history(store) == CrashHistory()
-            await wait_until(lambda: count(hall.journal, "start") == 2)
+            await wait_until(lambda: count(worker_pool.journal, "start") == 2)
             assert await _history(store) == CrashHistory(1, 1, 1, 0.0, 1)
 
 
 async def test_a_run_that_lapsed_counts_for_a_new_owner() -> None:
-    async with _cell(down=8.0) as (store, hall):
-        async with running(make_owner(store, hall, 1)) as owner:
+    async with _cell(down=8.0) as (store, worker_pool):
+        async with running(make_owner(store, worker_pool, 1)) as owner:
             await owner.job_api.submit(_JOB, QUEUE, chain(1, 1))
             # The lease of its run has lapsed, and the worker's fate is unknown.
-            await wait_until(lambda: count(hall.journal, "start") == 2)
+            await wait_until(lambda: count(worker_pool.journal, "start") == 2)
             await trio.sleep(0.2)
         assert await _history(store) == CrashHistory()
-        async with running(make_owner(store, hall, 2)):
-            await wait_until(lambda: not hall.lingering_entries, 12.0)
+        async with running(make_owner(store, worker_pool, 2)):
+            await wait_until(lambda: not worker_pool.lingering_entries, 12.0)
             await trio.sleep(4.0)
             assert await _history(store) == CrashHistory(1, 1, 1, 0.0, 1)
 
 
 async def test_entries_of_ended_lives_are_no_crashes_to_a_new_owner() -> None:
-    async with _cell(down=1.0) as (store, hall):
-        async with running(make_owner(store, hall, 1)) as owner:
+    async with _cell(down=1.0) as (store, worker_pool):
+        async with running(make_owner(store, worker_pool, 1)) as owner:
             await owner.job_api.submit(_JOB, QUEUE, chain(1, 1))
             await wait_until(
                 lambda: owner.job_api.state(_JOB).state is JobState.FAILED
             )
-        assert hall.lingering_entries
+        assert worker_pool.lingering_entries
         before = decisions.counts()["worker_crashed"]
-        async with running(make_owner(store, hall, 2)):
+        async with running(make_owner(store, worker_pool, 2)):
             await trio.sleep(6.0)
         assert decisions.counts()["worker_crashed"] == before
 
 
 async def test_a_worker_that_is_heard_again_leaves_no_doubt() -> None:
-    async with _cell(down=1.0) as (store, hall):
-        async with running(make_owner(store, hall, 1, vm="a")) as owner:
+    async with _cell(down=1.0) as (store, worker_pool):
+        async with running(make_owner(store, worker_pool, 1, vm="a")) as owner:
             await owner.job_api.submit("job", QUEUE, chain(1, 1))
-            await wait_until(lambda: count(hall.journal, "start") == 1)
-            hall.cut["a"].add(hall.journal[0].worker)
+            await wait_until(lambda: count(worker_pool.journal, "start") == 1)
+            worker_pool.cut["a"].add(worker_pool.journal[0].worker)
             await trio.sleep(2.0)
             assert len(await _values(store, SILENT_LIVES)) == 1
-            hall.cut["a"].clear()
+            worker_pool.cut["a"].clear()
             await trio.sleep(1.0)
             assert not await _values(store, SILENT_LIVES)
             # The next owner reaches a worker that this one can't reach.
             await owner.job_api.submit("more", QUEUE, chain(1, 1))
-            await wait_until(lambda: count(hall.journal, "start") == 2)
-            hall.cut["a"].add(hall.journal[-1].worker)
+            await wait_until(lambda: count(worker_pool.journal, "start") == 2)
+            worker_pool.cut["a"].add(worker_pool.journal[-1].worker)
             await trio.sleep(2.0)
             assert len(await _values(store, SILENT_LIVES)) == 1
-        async with running(make_owner(store, hall, 2, vm="b")):
+        async with running(make_owner(store, worker_pool, 2, vm="b")):
             await trio.sleep(1.0)
             assert not await _values(store, SILENT_LIVES)
 
 
 async def test_what_never_comes_back_is_forgotten() -> None:
-    async with _cell(down=1000.0) as (store, hall):
-        async with running(make_owner(store, hall, 1)) as owner:
+    async with _cell(down=1000.0) as (store, worker_pool):
+        async with running(make_owner(store, worker_pool, 1)) as owner:
             await owner.job_api.submit(_JOB, QUEUE, chain(1, 1))
-            await wait_until(lambda: count(hall.journal, "crashed") == 1)
+            await wait_until(lambda: count(worker_pool.journal, "crashed") == 1)
             await trio.sleep(1.0)
             assert await _values(store, SILENT_LIVES)
             await owner.job_api.cancel(_JOB)
@@ -182,28 +184,28 @@
 
 
 async def test_a_new_owner_knows_what_had_lived_on_a_silent_worker() -> None:
-    async with _cell(down=2.0) as (store, hall):
+    async with _cell(down=2.0) as (store, worker_pool):
         lasting = StepSpec(1, SMALL, lasting=True)
-        async with running(make_owner(store, hall, 1)) as owner:
+        async with running(make_owner(store, worker_pool, 1)) as owner:
             await owner.job_api.submit("last", QUEUE, spec(lasting))
-            await wait_until(lambda: count(hall.journal, "start") == 1)
+            await wait_until(lambda: count(worker_pool.journal, "start") == 1)
             await trio.sleep(2.0)
-            worker = hall.workers[hall.journal[0].worker]
+            worker = worker_pool.workers[worker_pool.journal[0].worker]
             worker.crash()
             worker.down = True
             await trio.sleep(0.5)
-        async with running(make_owner(store, hall, 2)):
-            await wait_until(lambda: count(hall.journal, "start") == 2)
+        async with running(make_owner(store, worker_pool, 2)):
+            await wait_until(lambda: count(worker_pool.journal, "start") == 2)
             history = await _history(store)
         assert (history.crashes, history.early) == (1, 0)
 
 
 async def test_a_new_owner_knows_which_workers_went_of_late() -> None:
-    async with _cell(down=1.0) as (store, hall):
+    async with _cell(down=1.0) as (store, worker_pool):
         for epoch in (1, 2):
-            async with running(make_owner(store, hall, epoch)):
+            async with running(make_owner(store, worker_pool, epoch)):
                 await trio.sleep(1.0)
-                worker = next(iter(hall.workers.values()))
+                worker = next(iter(worker_pool.workers.values()))
                 worker.crash()
                 worker.down = True
                 await trio.sleep(3.0)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -50,35 +50,43 @@
     plan: Callable[[TaskName], TaskPlan], each: int = 2
 ) -> WorkerPool:
     """Returns a pool of workers, `each` in every zone."""
-    hall = WorkerPool()
+    worker_pool = WorkerPool()
     for number in range(each * len(ZONES)):
         zone = ZONES[number % len(ZONES)]
         entry = life(number)._replace(zone=zone, labels=("kind", zone))
-        hall.add(TaskWorkerStandin(entry, plan, hall.journal, seed=number))
-    return hall
+        worker_pool.add(
+            TaskWorkerStandin(entry, plan, worker_pool.journal, seed=number)
+        )
+    return worker_pool
 
 
 def _make_owner(
-    store: StoreStandin, hall: WorkerPool, zones: ZoneAccess, epoch: int = 1
+    store: StoreStandin,
+    worker_pool: WorkerPool,
+    zones: ZoneAccess,
+    epoch: int = 1,
 ) -> Owner:
-    return make_owner(store, hall, epoch, vm=VM, zones=zones)
+    return make_owner(store, worker_pool, epoch, vm=VM, zones=zones)
 
 
 def _starts_in(
-    hall: WorkerPool, zone: str, since: float, until: float = float("inf")
+    worker_pool: WorkerPool,
+    zone: str,
+    since: float,
+    until: float = float("inf"),
 ) -> list[RunEvent]:
     """Returns the starts in a zone after `since` and up to `until`."""
     return [
         event
-        for event in hall.journal
+        for event in worker_pool.journal
         if event.what == "start"
         and since < event.at <= until
-        and _zone_of(hall, event) == zone
+        and _zone_of(worker_pool, event) == zone
     ]
 
 
-def _zone_of(hall: WorkerPool, event: RunEvent) -> str:
-    return hall.workers[event.worker].life.zone
+def _zone_of(worker_pool: WorkerPool, event: RunEvent) -> str:
+    return worker_pool.workers[event.worker].life.zone
 
 
 def _short_task(_: TaskName) -> TaskPlan:
@@ -90,17 +98,19 @@
 
 
 async def test_first_starts_leave_an_evacuated_zone_out() -> None:
-    hall, zones = _make_hall(_short_task), ClosedZones()
+    worker_pool, zones = _make_hall(_short_task), ClosedZones()
     zones.close(_NORTH)
-    async with running(_make_owner(StoreStandin(), hall, zones)) as owner:
+    async with running(
+        _make_owner(StoreStandin(), worker_pool, zones)
+    ) as owner:
         for number in range(6):
             await owner.job_api.submit(f"j{number}", QUEUE, chain(4, 2))
-        await wait_until(lambda: len(hall.journal) >= 96)
-        assert not _starts_in(hall, _NORTH, 0.0)
+        await wait_until(lambda: len(worker_pool.journal) >= 96)
+        assert not _starts_in(worker_pool, _NORTH, 0.0)
         zones.open_all()
         for number in range(6, 12):
             await owner.job_api.submit(f"j{number}", QUEUE, chain(4, 2))
-        await wait_until(lambda: bool(_starts_in(hall, _NORTH, 0.0)))
+        await wait_until(lambda: bool(_starts_in(worker_pool, _NORTH, 0.0)))
 
 
 async def test_repeats_and_moved_tasks_leave_an_evacuated_zone_out() -> None:
@@ -110,78 +120,94 @@
     def plan(_: TaskName) -> TaskPlan:
         return TaskPlan(0.3, SMALL, fails=draw.random() < 0.4)
 
-    hall, zones = _make_hall(plan, each=3), ClosedZones()
-    async with running(_make_owner(StoreStandin(), hall, zones)) as owner:
+    worker_pool, zones = _make_hall(plan, each=3), ClosedZones()
+    async with running(
+        _make_owner(StoreStandin(), worker_pool, zones)
+    ) as owner:
         for number in range(12):
             await owner.job_api.submit(f"j{number}", QUEUE, chain(4, 2))
         await trio.sleep(0.4)
         zones.close(_NORTH)
         closed_at = trio.current_time()
-        for worker in list(hall.workers.values())[1::3]:
+        for worker in list(worker_pool.workers.values())[1::3]:
             worker.crash()
         await trio.sleep(10.0)
-        assert not _starts_in(hall, _NORTH, closed_at)
-        assert [e for e in hall.journal if e.at > closed_at + 1.0]
+        assert not _starts_in(worker_pool, _NORTH, closed_at)
+        assert [e for e in worker_pool.journal if e.at > closed_at + 1.0]
 
 
 async def test_a_start_that_waits_for_its_record_is_dropped() -> None:
     """The zone is evacuated after the decision and before its order is sent."""
-    hall, zones, store = _make_hall(_short_task), ClosedZones(), StoreStandin()
-    async with running(_make_owner(store, hall, zones)) as owner:
+    worker_pool, zones, store = (
+        _make_hall(_short_task),
+        ClosedZones(),
+        StoreStandin(),
+    )
+    async with running(_make_owner(store, worker_pool, zones)) as owner:
         store.faults.delay = 0.6
         async with trio.open_nursery() as nursery:
             nursery.start_soon(owner.job_api.submit, "j", QUEUE, chain(24, 1))
             await trio.sleep(0.3)
-            assert not hall.journal, "no order waited"
+            assert not worker_pool.journal, "no order waited"
             zones.close(_NORTH)
         await trio.sleep(8.0)
-        assert not _starts_in(hall, _NORTH, 0.0)
-        assert len({e.task for e in hall.journal if e.what == "done"}) == 24
+        assert not _starts_in(worker_pool, _NORTH, 0.0)
+        assert (
+            len({e.task for e in worker_pool.journal if e.what == "done"}) == 24
+        )
 
 
 async def test_gangs_leave_an_evacuated_zone_out() -> None:
-    hall, zones = _make_hall(_short_task), ClosedZones()
+    worker_pool, zones = _make_hall(_short_task), ClosedZones()
     zones.close(_NORTH)
     gang = spec(StepSpec(8, SMALL, 0.5, gang=True))
-    async with running(_make_owner(StoreStandin(), hall, zones)) as owner:
+    async with running(
+        _make_owner(StoreStandin(), worker_pool, zones)
+    ) as owner:
         for number in range(3):
             await owner.job_api.submit(f"g{number}", QUEUE, gang)
         await trio.sleep(5.0)
-        assert not _starts_in(hall, _NORTH, 0.0)
-        assert any(e.what == "start" for e in hall.journal)
+        assert not _starts_in(worker_pool, _NORTH, 0.0)
+        assert any(e.what == "start" for e in worker_pool.journal)
 
 
 async def test_what_runs_in_an_evacuated_zone_runs_on() -> None:
     """Leases in the zone are renewed: only starts are refused."""
-    hall, zones = _make_hall(_lasting_task), ClosedZones()
+    worker_pool, zones = _make_hall(_lasting_task), ClosedZones()
     lasting = spec(StepSpec(12, SMALL, 0.5, lasting=True))
-    async with running(_make_owner(StoreStandin(), hall, zones)) as owner:
+    async with running(
+        _make_owner(StoreStandin(), worker_pool, zones)
+    ) as owner:
         await owner.job_api.submit("w", QUEUE, lasting)
-        await wait_until(lambda: len(hall.journal) == 12)
-        before = len(_starts_in(hall, _NORTH, 0.0))
+        await wait_until(lambda: len(worker_pool.journal) == 12)
+        before = len(_starts_in(worker_pool, _NORTH, 0.0))
         zones.close(_NORTH)
         await trio.sleep(30.0)
-        assert before and len(hall.journal) == 12
+        assert before and len(worker_pool.journal) == 12
 
 
 async def test_two_zones_and_all_zones_can_be_evacuated() -> None:
-    hall, zones = _make_hall(_short_task), ClosedZones()
+    worker_pool, zones = _make_hall(_short_task), ClosedZones()
     zones.close(*ZONES)
-    async with running(_make_owner(StoreStandin(), hall, zones)) as owner:
+    async with running(
+        _make_owner(StoreStandin(), worker_pool, zones)
+    ) as owner:
         await owner.job_api.submit("j", QUEUE, chain(4, 1))
         await trio.sleep(5.0)
-        assert not hall.journal
+        assert not worker_pool.journal
         zones.open("west")
-        await wait_until(lambda: len(hall.journal) >= 8)
-        assert {_zone_of(hall, event) for event in hall.journal} == {"west"}
+        await wait_until(lambda: len(worker_pool.journal) >= 8)
+        assert {
+            _zone_of(worker_pool, event) for event in worker_pool.journal
+        } == {"west"}
 
 
 class _Cell:
     """Owners whose VM reads an operator's evacuations from the store."""
 
-    def __init__(self, followed: FollowingVm, hall: WorkerPool) -> None:
+    def __init__(self, followed: FollowingVm, worker_pool: WorkerPool) -> None:
         self.followed = followed
-        self.hall = hall
+        self.worker_pool = worker_pool
         self._epoch = 0
 
     @asynccontextmanager
@@ -189,7 +215,9 @@
         """Runs the next owner, whose VM reads the operator's evacuations."""
         self._epoch += 1
         zones = self.followed.follower.evacuations
-        owner = _make_owner(self.followed.store, self.hall, zones, self._epoch)
+        owner = _make_owner(
+            self.followed.store, self.worker_pool, zones, self._epoch
+        )
         async with running(owner):
             yield owner
 
@@ -218,8 +246,8 @@
             acked_at = trio.current_time()
             await trio.sleep(7.0)
             nursery.cancel_scope.cancel()
-        late = _starts_in(cell.hall, _NORTH, acked_at)
-        others = [e for e in cell.hall.journal if e.at > acked_at + 5.0]
+        late = _starts_in(cell.worker_pool, _NORTH, acked_at)
+        others = [e for e in cell.worker_pool.journal if e.at > acked_at + 5.0]
         assert others, "nothing started elsewhere either"
     return max((event.at - acked_at for event in late), default=0.0)
 
@@ -342,10 +370,10 @@
         acked_at = trio.current_time()
         async with cell.owned():
             await trio.sleep(20.0)
-        late = _starts_in(cell.hall, _NORTH, acked_at)
+        late = _starts_in(cell.worker_pool, _NORTH, acked_at)
         assert (
             max((e.at - acked_at for e in late), default=0.0)
             < _MAX_DELAY_HEALTHY_STORE
         )
-        done = {e.task for e in cell.hall.journal if e.what == "done"}
+        done = {e.task for e in cell.worker_pool.journal if e.what == "done"}
         assert len(done) == 60
--- a/tests/test_failing_workers.py
+++ b/tests/test_failing_workers.py
@@ -26,8 +26,8 @@
 from tests.owner_fixtures import (
     QUEUE,
     life,
-    make_hall,
     make_owner,
+    make_worker_pool,
     running,
     spec,
 )
@@ -44,12 +44,12 @@
 
 
 async def _run_wide_jobs(
-    hall: WorkerPool, states: list[JobState | None]
+    worker_pool: WorkerPool, states: list[JobState | None]
 ) -> None:
     with mock.patch.object(wall, "now", trio.current_time):
-        async with running(make_owner(StoreStandin(), hall, 1)) as owner:
+        async with running(make_owner(StoreStandin(), worker_pool, 1)) as owner:
             await trio.sleep(1.0)
-            for worker in list(hall.workers.values())[::7][:_FAILING]:
+            for worker in list(worker_pool.workers.values())[::7][:_FAILING]:
                 worker.faults.fails_all = True
             wide = spec(*(StepSpec(39, _SIZE, 0.5) for _ in range(2)))
             for number in range(_JOBS):
@@ -63,14 +63,14 @@
 
 
 def test_wide_jobs_end_well_beside_workers_that_fail_all() -> None:
-    hall = make_hall(_WORKERS, _plan)
+    worker_pool = make_worker_pool(_WORKERS, _plan)
     states: list[JobState | None] = []
-    run_virtual(lambda: _run_wide_jobs(hall, states))
+    run_virtual(lambda: _run_wide_jobs(worker_pool, states))
     failed = sum(state is JobState.FAILED for state in states)
     ended = sum(state is JobState.COMPLETED for state in states)
     assert failed + ended == _JOBS, states
     assert failed <= 2, failed
-    runs_failed = sum(event.what == "failed" for event in hall.journal)
+    runs_failed = sum(event.what == "failed" for event in worker_pool.journal)
     assert runs_failed < 10 * _FAILING, runs_failed
 
 
--- a/tests/test_field.py
+++ b/tests/test_field.py
@@ -78,10 +78,10 @@
         self._scanned_hosts.remove(host)
         super().exclude(host)
 
-    def include_all(self) -> None:
+    def include_all_workers(self) -> None:
         """Includes all workers again."""
         self._scanned_hosts = list(self._all_hosts)
-        super().include_all()
+        super().include_all_workers()
 
 
 class _RandomDay:
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -23,8 +23,8 @@
 from tests.owner_fixtures import (
     QUEUE,
     life,
-    make_hall,
     make_owner,
+    make_worker_pool,
     quick,
     running,
     spec,
@@ -179,9 +179,11 @@
 
 
 def test_an_owner_calls_no_worker_of_a_service_that_is_not_configured() -> None:
-    hall = make_hall(1)
+    worker_pool = make_worker_pool(1)
     stranger = life(1)._replace(service="strangers")
-    hall.add(TaskWorkerStandin(stranger, quick, hall.journal, seed=1))
+    worker_pool.add(
+        TaskWorkerStandin(stranger, quick, worker_pool.journal, seed=1)
+    )
 
     called: set[str] = set()
     link = WorkerPoolAccess.link
@@ -195,7 +197,9 @@
             mock.patch.object(wall, "now", trio.current_time),
             mock.patch.object(WorkerPoolAccess, "link", note_link),
         ):
-            async with running(make_owner(StoreStandin(), hall, 1)) as owner:
+            async with running(
+                make_owner(StoreStandin(), worker_pool, 1)
+            ) as owner:
                 step = StepSpec(4, Size(1000, 500, 0), 0.2)
                 await owner.job_api.submit("j", QUEUE, spec(step))
                 await trio.sleep(3.0)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -42,7 +42,7 @@
     QUEUE,
     chain,
     find_overlapping_starts,
-    make_hall,
+    make_worker_pool,
     wait_until,
 )
 
@@ -63,11 +63,15 @@
     """
 
     def __init__(
-        self, name: str, generation: int, store: StoreStandin, hall: WorkerPool
+        self,
+        name: str,
+        generation: int,
+        store: StoreStandin,
+        worker_pool: WorkerPool,
     ) -> None:
         process = f"{name}:{generation}"
         self.identity = PeerIdentity(process, name, "127.0.0.1:9", "z")
-        access = hall.access(name)
+        access = worker_pool.access(name)
         platform = CellPlatform(store.client(name), access, access)
         self.cluster = Cluster(platform.store)
         self.election = Election(
@@ -94,10 +98,10 @@
 
 @asynccontextmanager
 async def _vms(
-    count: int, store: StoreStandin, hall: WorkerPool
+    count: int, store: StoreStandin, worker_pool: WorkerPool
 ) -> AsyncIterator[tuple[list[_Vm], dict[str, trio.CancelScope], trio.Nursery]]:
     scopes: dict[str, trio.CancelScope] = {}
-    vms = [_Vm(f"vm{n}", 0, store, hall) for n in range(count)]
+    vms = [_Vm(f"vm{n}", 0, store, worker_pool) for n in range(count)]
     async with trio.open_nursery() as nursery:
         for vm in vms:
             nursery.start_soon(_run_killable, vm, scopes)
@@ -112,16 +116,16 @@
 
 
 async def test_one_of_many_starting_at_once_owns() -> None:
-    store, hall = StoreStandin(), make_hall()
-    async with _vms(7, store, hall) as (vms, _, _):
+    store, worker_pool = StoreStandin(), make_worker_pool()
+    async with _vms(7, store, worker_pool) as (vms, _, _):
         await wait_until(lambda: any(vm.owns for vm in vms), timeout=3)
         await trio.sleep(5)
         assert sum(vm.owns for vm in vms) == 1
 
 
 async def test_a_dead_owner_is_followed_within_three_seconds() -> None:
-    store, hall = StoreStandin(), make_hall()
-    async with _vms(5, store, hall) as (vms, scopes, _):
+    store, worker_pool = StoreStandin(), make_worker_pool()
+    async with _vms(5, store, worker_pool) as (vms, scopes, _):
         await wait_until(lambda: any(vm.owns for vm in vms))
         owner = next(vm for vm in vms if vm.owns)
         assert owner.election.owner is not None
@@ -136,15 +140,15 @@
         assert (
             successor.election.owner.job_api.state("j1").outcome is Outcome.OK
         )
-    assert not find_overlapping_starts(hall.journal)
+    assert not find_overlapping_starts(worker_pool.journal)
 
 
 async def test_a_restarted_process_follows_its_own_former_self() -> None:
-    store, hall = StoreStandin(), make_hall()
-    async with _vms(1, store, hall) as (vms, scopes, nursery):
+    store, worker_pool = StoreStandin(), make_worker_pool()
+    async with _vms(1, store, worker_pool) as (vms, scopes, nursery):
         await wait_until(lambda: vms[0].owns)
         scopes["vm0"].cancel()
-        again = _Vm("vm0", 1, store, hall)
+        again = _Vm("vm0", 1, store, worker_pool)
         restarted_at = trio.current_time()
         nursery.start_soon(_run_killable, again, scopes)
         await wait_until(lambda: again.owns)
@@ -152,8 +156,8 @@
 
 
 async def test_an_owner_that_the_store_refuses_is_replaced() -> None:
-    store, hall = StoreStandin(), make_hall()
-    async with _vms(3, store, hall) as (vms, _, _):
+    store, worker_pool = StoreStandin(), make_worker_pool()
+    async with _vms(3, store, worker_pool) as (vms, _, _):
         await wait_until(lambda: any(vm.owns for vm in vms))
         owner = next(vm for vm in vms if vm.owns)
         store.faults.refused.add(owner.identity.name)
@@ -165,8 +169,8 @@
 
 
 async def test_nobody_is_replaced_while_the_whole_store_is_away() -> None:
-    store, hall = StoreStandin(), make_hall()
-    async with _vms(3, store, hall) as (vms, _, _):
+    store, worker_pool = StoreStandin(), make_worker_pool()
+    async with _vms(3, store, worker_pool) as (vms, _, _):
         await wait_until(lambda: any(vm.owns for vm in vms))
         owner = next(vm for vm in vms if vm.owns)
         store.faults.away = True
@@ -178,8 +182,8 @@
 
 
 async def test_a_planned_stop_gives_the_cell_away_at_once() -> None:
-    store, hall = StoreStandin(), make_hall()
-    async with _vms(3, store, hall) as (vms, _, _):
+    store, worker_pool = StoreStandin(), make_worker_pool()
+    async with _vms(3, store, worker_pool) as (vms, _, _):
         await wait_until(lambda: any(vm.owns for vm in vms))
         owner = next(vm for vm in vms if vm.owns)
         owner.election.leave()
@@ -413,8 +417,8 @@
 
 
 async def test_a_release_soon_after_a_silent_owner_is_not_quiet() -> None:
-    store, hall = StoreStandin(), make_hall()
-    async with _vms(3, store, hall) as (vms, scopes, _):
+    store, worker_pool = StoreStandin(), make_worker_pool()
+    async with _vms(3, store, worker_pool) as (vms, scopes, _):
         await wait_until(lambda: any(vm.owns for vm in vms))
         first = next(vm for vm in vms if vm.owns)
         scopes[first.identity.name].cancel()
--- a/tests/test_given_up_starts.py
+++ b/tests/test_given_up_starts.py
@@ -16,8 +16,8 @@
     count,
     find_overlapping_starts,
     life,
-    make_hall,
     make_owner,
+    make_worker_pool,
     running,
     spec,
 )
@@ -34,25 +34,31 @@
     # TWICE: the start was decided during an outage of the store and its
     # worker's lease lapsed. It was sent once its record was stored, although
     # the task had been started elsewhere meanwhile.
-    store, hall, zones = StoreStandin(), make_hall(1, _lasting), ClosedZones()
+    store, worker_pool, zones = (
+        StoreStandin(),
+        make_worker_pool(1, _lasting),
+        ClosedZones(),
+    )
     zones.close("north")
-    async with running(make_owner(store, hall, 1, zones=zones)) as owner:
+    async with running(make_owner(store, worker_pool, 1, zones=zones)) as owner:
         job = spec(StepSpec(1, SMALL, lasting=True))
         await owner.job_api.submit("watch", QUEUE, job)
         await trio.sleep(1.0)
         store.faults.refused = {"a"}
         zones.open_all()
         await trio.sleep(0.5)
-        hall.cut["a"].add(life(0).id)
+        worker_pool.cut["a"].add(life(0).id)
         await trio.sleep(_OUTAGE - 3.0)
-        hall.add(TaskWorkerStandin(life(1), _lasting, hall.journal, seed=1))
+        worker_pool.add(
+            TaskWorkerStandin(life(1), _lasting, worker_pool.journal, seed=1)
+        )
         await trio.sleep(1.0)
-        hall.cut["a"].clear()
+        worker_pool.cut["a"].clear()
         await trio.sleep(1.5)
-        assert not hall.journal
+        assert not worker_pool.journal
         store.faults.refused = set()
         await trio.sleep(3.0)
-    assert count(hall.journal, "start"), "nothing began"
-    assert not find_overlapping_starts(hall.journal), find_overlapping_starts(
-        hall.journal
+    assert count(worker_pool.journal, "start"), "nothing began"
+    assert not find_overlapping_starts(worker_pool.journal), (
+        find_overlapping_starts(worker_pool.journal)
     )
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -41,8 +41,8 @@
     chain,
     find_overlapping_starts,
     find_starts_after_success,
-    make_hall,
     make_owner,
+    make_worker_pool,
     running,
     wait_until,
 )
@@ -372,18 +372,18 @@
 
 
 async def test_a_new_owner_takes_up_what_was_stored_before_it_answers() -> None:
-    store, hall = StoreStandin(), make_hall()
+    store, worker_pool = StoreStandin(), make_worker_pool()
     await _store_submissions(store, "job1", "job2")
-    async with running(make_owner(store, hall, 1)) as owner:
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         assert owner.job_api.knows("job1"), "known as soon as it answers"
         await wait_until(lambda: _completed(owner, "job2"))
         await wait_until(lambda: not _remaining_keys(store))
-    assert not find_overlapping_starts(hall.journal), "no task ran twice"
+    assert not find_overlapping_starts(worker_pool.journal), "no task ran twice"
 
 
 async def test_an_owner_takes_up_what_vms_store_while_it_lives() -> None:
-    store, hall = StoreStandin(), make_hall()
-    async with running(make_owner(store, hall, 1)) as owner:
+    store, worker_pool = StoreStandin(), make_worker_pool()
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await trio.sleep(5.0)
         stored_at = trio.current_time()
         await _store_submissions(store, "job1")
@@ -393,8 +393,8 @@
 
 
 async def test_a_job_that_two_vms_stored_and_an_owner_knew_runs_once() -> None:
-    store, hall = StoreStandin(), make_hall()
-    async with running(make_owner(store, hall, 1)) as owner:
+    store, worker_pool = StoreStandin(), make_worker_pool()
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await owner.job_api.submit("job1", QUEUE, chain())
         await _store_submissions(store, "job1")
         await _store_submissions(store, "job1")
@@ -403,14 +403,16 @@
         await _store_submissions(store, "job1")
         await wait_until(lambda: not _remaining_keys(store))
         await trio.sleep(3.0)
-    assert not find_starts_after_success(hall.journal), "no task ran again"
+    assert not find_starts_after_success(worker_pool.journal), (
+        "no task ran again"
+    )
 
 
 async def test_a_store_slow_as_vms_put_up_with_is_read_by_owners_too() -> None:
-    store, hall = StoreStandin(), make_hall()
+    store, worker_pool = StoreStandin(), make_worker_pool()
     await _store_submissions(store, "job1")
     store.faults.delay = 0.8
-    async with running(make_owner(store, hall, 1)) as owner:
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         assert owner.job_api.knows("job1"), "known as soon as it answers"
         await _store_submissions(store, "job2")
         await wait_until(lambda: owner.job_api.knows("job2"))
@@ -422,27 +424,31 @@
     # Killed at different points between reading the topic, recording the
     # jobs and removing them from the topic.
     for moment in (0.0, 0.005, 0.01, 0.02, 0.03, 0.05, 0.1):
-        store, hall = StoreStandin(), make_hall()
-        async with running(make_owner(store, hall, 1)):
+        store, worker_pool = StoreStandin(), make_worker_pool()
+        async with running(make_owner(store, worker_pool, 1)):
             await _store_submissions(store, "job1", "job2")
             await trio.sleep(moment)
-        next_owner = make_owner(store, hall, 2, vm="b", former_quiet=False)
+        next_owner = make_owner(
+            store, worker_pool, 2, vm="b", former_quiet=False
+        )
         async with running(next_owner) as owner:
             for job in ("job1", "job2"):
                 assert owner.job_api.knows(job), f"{job} after {moment} s"
             await wait_until(lambda: _completed(owner, "job2"))
-        assert not find_overlapping_starts(hall.journal), "no task ran twice"
+        assert not find_overlapping_starts(worker_pool.journal), (
+            "no task ran twice"
+        )
 
 
 async def test_what_an_owner_can_not_read_stays_for_another_version() -> None:
-    store, hall = StoreStandin(), make_hall()
+    store, worker_pool = StoreStandin(), make_worker_pool()
     await _store_submissions(store, "job1")
     unread = [
         Record(submission_key("job2"), b"\x91\x63"),
         Record("?job1", b"1"),
     ]
     await store.client("vm").append(TOPIC, unread, 1.0)
-    async with running(make_owner(store, hall, 1)) as owner:
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await wait_until(lambda: _completed(owner, "job1"))
         await trio.sleep(2.0)
     assert _remaining_keys(store) == [record.key for record in unread], (
@@ -451,15 +457,15 @@
 
 
 async def test_a_cancel_that_was_stored_with_its_job_starts_nothing() -> None:
-    store, hall = StoreStandin(), make_hall()
+    store, worker_pool = StoreStandin(), make_worker_pool()
     await _store_submissions(store, "job1")
     await store.client("vm").append(
         TOPIC, [Record(cancel_key("job1"), b"\x01")], 1.0
     )
-    async with running(make_owner(store, hall, 1)) as owner:
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await wait_until(lambda: _state(owner, "job1") is JobState.CANCELLED)
         await trio.sleep(2.0)
-    started = Counter(event.what for event in hall.journal)
+    started = Counter(event.what for event in worker_pool.journal)
     assert not started["start"], "nothing was started"
 
 
@@ -472,8 +478,8 @@
 
 
 async def test_no_job_is_unknown_while_the_topic_can_not_be_read() -> None:
-    store, hall = StoreStandin(), make_hall()
-    async with running(make_owner(store, hall, 1)) as owner:
+    store, worker_pool = StoreStandin(), make_worker_pool()
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         assert owner.job_api.state("job9").outcome is Outcome.NO_SUCH_JOB, (
             "known"
         )
@@ -485,8 +491,8 @@
 
 
 async def test_no_cancel_of_a_job_that_may_be_in_the_topic_is_refused() -> None:
-    store, hall = StoreStandin(), make_hall()
-    async with running(make_owner(store, hall, 1)) as owner:
+    store, worker_pool = StoreStandin(), make_worker_pool()
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await trio.sleep(2.0)
         store.faults.refused.add("a")
         await _store_submissions(store, "job1")
@@ -497,8 +503,8 @@
 
 
 async def test_many_questions_for_unknown_jobs_share_few_reads() -> None:
-    store, hall = StoreStandin(), make_hall()
-    async with running(make_owner(store, hall, 1)) as owner:
+    store, worker_pool = StoreStandin(), make_worker_pool()
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await trio.sleep(2.0)
         calls = store.calls
         async with trio.open_nursery() as nursery:
@@ -508,10 +514,10 @@
 
 
 async def test_switched_off_an_owner_asks_the_store_nothing_more() -> None:
-    store, hall = StoreStandin(), make_hall()
+    store, worker_pool = StoreStandin(), make_worker_pool()
     await _store_submissions(store, "job1")
     switches = Switches(frozenset({Part.INTAKE}))
-    owner = make_owner(store, hall, 1, switches=switches)
+    owner = make_owner(store, worker_pool, 1, switches=switches)
     async with running(owner):
         await owner.import_if_stored("job1")
         await trio.sleep(3.0)
--- a/tests/test_large_cell.py
+++ b/tests/test_large_cell.py
@@ -26,8 +26,8 @@
 from tests.owner_fixtures import CONFIG, QUEUE, running
 from tests.slow_vm import (
     ChargingClock,
-    LargeHall,
-    make_large_hall,
+    LargeWorkerPool,
+    make_large_worker_pool,
     plan_of,
     run_on_slow_vm,
 )
@@ -55,34 +55,37 @@
 
 
 async def _keep_leases(clock: ChargingClock, leaving: int = 0) -> None:
-    hall = make_large_hall(clock, _WORKERS, plan_of)
+    worker_pool = make_large_worker_pool(clock, _WORKERS, plan_of)
     late: list[float] = []
-    async with running(_owner(hall)) as owner, trio.open_nursery() as nursery:
+    async with (
+        running(_owner(worker_pool)) as owner,
+        trio.open_nursery() as nursery,
+    ):
         for number in range(_LASTING_JOBS):
             job = f"last{number}"
             await owner.job_api.submit(job, QUEUE, serving_job(number))
         await trio.sleep(3.0)
         nursery.start_soon(_record_lateness, late)
-        nursery.start_soon(_drain_workers, hall, leaving)
+        nursery.start_soon(_drain_workers, worker_pool, leaving)
         await _submit_jobs(owner)
         nursery.cancel_scope.cancel()
-    ended = Counter(event.what for event in hall.journal)
+    ended = Counter(event.what for event in worker_pool.journal)
     assert not ended["lapsed"], ended
     assert max(late) < _MAX_LATENESS, sorted(late)[-9:]
     assert ended["done"] > 1_000, ended
 
 
-def _owner(hall: LargeHall) -> Owner:
+def _owner(worker_pool: LargeWorkerPool) -> Owner:
     store = StoreStandin()
-    access = hall.access("a")
+    access = worker_pool.access("a")
     platform = CellPlatform(store.client("a"), access, access)
     return Owner(Claim("jobs", 1, True), platform, lambda: CONFIG)
 
 
-async def _drain_workers(hall: LargeHall, leaving: int) -> None:
+async def _drain_workers(worker_pool: LargeWorkerPool, leaving: int) -> None:
     """Makes some workers report that they are draining, under load."""
     await trio.sleep(_SECONDS / 3)
-    for worker in list(hall.workers.values())[:leaving]:
+    for worker in list(worker_pool.workers.values())[:leaving]:
         life = worker.life
         worker.life = life._replace(draining=True, remaining=_SECONDS)
 
--- a/tests/test_large_restarts.py
+++ b/tests/test_large_restarts.py
@@ -23,8 +23,8 @@
 from tests.slow_vm import (
     CAPACITY,
     ChargingClock,
-    LargeHall,
-    make_large_hall,
+    LargeWorkerPool,
+    make_large_worker_pool,
     plan_of,
     run_on_slow_vm,
 )
@@ -45,9 +45,11 @@
 class _FaultInjector:
     """Restarts crashed workers and others, and changes their capacity."""
 
-    def __init__(self, clock: ChargingClock, hall: LargeHall) -> None:
+    def __init__(
+        self, clock: ChargingClock, worker_pool: LargeWorkerPool
+    ) -> None:
         self._clock = clock
-        self._workers = list(hall.workers.values())
+        self._workers = list(worker_pool.workers.values())
         self._random = random.Random(1)
         self._restart_at: dict[TaskWorkerStandin, float] = {}
 
@@ -80,9 +82,9 @@
 
 
 async def _run_large_cell(clock: ChargingClock) -> None:
-    hall = make_large_hall(clock, _WORKERS, plan_of)
+    worker_pool = make_large_worker_pool(clock, _WORKERS, plan_of)
     store = StoreStandin()
-    access = hall.access("a")
+    access = worker_pool.access("a")
     platform = CellPlatform(store.client("a"), access, access)
     owner = Owner(Claim("jobs", 1, True), platform, lambda: CONFIG)
     async with running(owner), trio.open_nursery() as nursery:
@@ -91,7 +93,7 @@
                 f"last{number}", QUEUE, serving_job(number)
             )
         await trio.sleep(2.0)
-        nursery.start_soon(_FaultInjector(clock, hall).run)
+        nursery.start_soon(_FaultInjector(clock, worker_pool).run)
         for number in range(_CRASHING_JOBS):
             await owner.job_api.submit(f"crash{number}", QUEUE, quick_job())
         quick = await _submit_jobs(owner)
@@ -105,12 +107,12 @@
             job
             for job in (f"quick{number}" for number in range(quick))
             if owner.job_api.state(job).state is JobState.FAILED
-            and not crashed_twice_under(hall.journal, job)
+            and not crashed_twice_under(worker_pool.journal, job)
         ]
         nursery.cancel_scope.cancel()
-    assert not find_crash_loops(hall.journal)
-    assert not find_overlapping_starts(hall.journal)
-    assert not find_starts_after_success(hall.journal)
+    assert not find_crash_loops(worker_pool.journal)
+    assert not find_overlapping_starts(worker_pool.journal)
+    assert not find_starts_after_success(worker_pool.journal)
     assert set(crashing) == {JobState.FAILED}, crashing
     assert set(lasting) == {JobState.RUNNING}, lasting
     assert not lost, lost
--- a/tests/test_late_starts.py
+++ b/tests/test_late_starts.py
@@ -26,8 +26,8 @@
     find_overlapping_starts,
     find_starts_after_success,
     life,
-    make_hall,
     make_owner,
+    make_worker_pool,
     running,
     spec,
     wait_until,
@@ -47,12 +47,12 @@
 
 
 @contextmanager
-def _delay_orders(hall: WorkerPool) -> Iterator[None]:
+def _delay_orders(worker_pool: WorkerPool) -> Iterator[None]:
     """Makes all workers leave orders unanswered and carry them out late."""
-    for worker in hall.workers.values():
+    for worker in worker_pool.workers.values():
         worker.faults.late = 1.0
     yield
-    for worker in hall.workers.values():
+    for worker in worker_pool.workers.values():
         worker.faults.late = 0.0
 
 
@@ -60,20 +60,20 @@
     return owner.job_api.state(job).state is JobState.COMPLETED
 
 
-def _check_journal(hall: WorkerPool) -> None:
-    assert not find_overlapping_starts(hall.journal), find_overlapping_starts(
-        hall.journal
+def _check_journal(worker_pool: WorkerPool) -> None:
+    assert not find_overlapping_starts(worker_pool.journal), (
+        find_overlapping_starts(worker_pool.journal)
     )
-    assert not find_starts_after_success(hall.journal), (
-        find_starts_after_success(hall.journal)
+    assert not find_starts_after_success(worker_pool.journal), (
+        find_starts_after_success(worker_pool.journal)
     )
 
 
-async def _submit_unanswered(owner: Owner, hall: WorkerPool) -> float:
+async def _submit_unanswered(owner: Owner, worker_pool: WorkerPool) -> float:
     """Submits a job whose start isn't answered; returns when it was sent."""
     # All workers have listed their runs, so only the start goes unanswered.
     await trio.sleep(0.5)
-    with _delay_orders(hall):
+    with _delay_orders(worker_pool):
         await owner.job_api.submit("job", QUEUE, _SHORT_JOB)
         await trio.sleep(0.1)
     return trio.current_time()
@@ -81,82 +81,82 @@
 
 async def test_a_task_is_not_started_elsewhere_before_its_late_start() -> None:
     # The next life of the worker would carry out the start as well.
-    hall = make_hall(2, _plan)
-    async with running(make_owner(StoreStandin(), hall, 1)) as owner:
-        sent_at = await _submit_unanswered(owner, hall)
+    worker_pool = make_worker_pool(2, _plan)
+    async with running(make_owner(StoreStandin(), worker_pool, 1)) as owner:
+        sent_at = await _submit_unanswered(owner, worker_pool)
         await wait_until(lambda: _is_done(owner, "job"))
         assert trio.current_time() - sent_at > const.LATE_START_WINDOW
         longest = const.LATE_START_WINDOW + const.LEASE + _START_WITHIN
         assert trio.current_time() - sent_at < longest
-    assert count(hall.journal, "start") == 1
-    _check_journal(hall)
+    assert count(worker_pool.journal, "start") == 1
+    _check_journal(worker_pool)
 
 
 async def test_a_late_start_holds_nothing_up_where_ids_name_one_life() -> None:
-    hall = make_hall(2, _plan)
-    for worker in hall.workers.values():
+    worker_pool = make_worker_pool(2, _plan)
+    for worker in worker_pool.workers.values():
         worker.life = worker.life._replace(born=0)
-    async with running(make_owner(StoreStandin(), hall, 1)) as owner:
-        sent_at = await _submit_unanswered(owner, hall)
+    async with running(make_owner(StoreStandin(), worker_pool, 1)) as owner:
+        sent_at = await _submit_unanswered(owner, worker_pool)
         await wait_until(lambda: _is_done(owner, "job"))
         assert trio.current_time() - sent_at < const.LEASE + _START_WITHIN
-    _check_journal(hall)
+    _check_journal(worker_pool)
 
 
 async def test_a_lasting_task_does_not_wait_for_its_late_start() -> None:
-    hall = make_hall(2, _plan)
-    async with running(make_owner(StoreStandin(), hall, 1)) as owner:
+    worker_pool = make_worker_pool(2, _plan)
+    async with running(make_owner(StoreStandin(), worker_pool, 1)) as owner:
         await trio.sleep(0.5)
-        with _delay_orders(hall):
+        with _delay_orders(worker_pool):
             await owner.job_api.submit("last", QUEUE, _LASTING_JOB)
             await trio.sleep(0.1)
         await wait_until(
-            lambda: count(hall.journal, "start") == 1,
+            lambda: count(worker_pool.journal, "start") == 1,
             const.CALL_TIMEOUT + _START_WITHIN,
         )
         await trio.sleep(const.LATE_START_WINDOW)
-        assert count(hall.journal, "start") == 1
+        assert count(worker_pool.journal, "start") == 1
         assert owner.job_api.state("last").state is JobState.RUNNING
-    _check_journal(hall)
+    _check_journal(worker_pool)
 
 
 async def test_a_task_that_may_run_twice_does_not_wait_for_its_late_start() -> (
     None
 ):
-    hall = make_hall(2, _plan)
-    async with running(make_owner(StoreStandin(), hall, 1)) as owner:
+    worker_pool = make_worker_pool(2, _plan)
+    async with running(make_owner(StoreStandin(), worker_pool, 1)) as owner:
         await trio.sleep(0.5)
         twice = spec(StepSpec(1, SMALL, 0.5, copies=True))
-        with _delay_orders(hall):
+        with _delay_orders(worker_pool):
             await owner.job_api.submit("job", QUEUE, twice)
             await trio.sleep(0.1)
         sent_at = trio.current_time()
         await wait_until(lambda: _is_done(owner, "job"))
         assert trio.current_time() - sent_at < const.LEASE + _START_WITHIN
         await trio.sleep(const.LATE_START_WINDOW)
-    _check_journal(hall)
+    _check_journal(worker_pool)
 
 
 async def test_a_repeated_start_stays_open_until_its_first_can_not_come() -> (
     None
 ):
-    hall = make_hall(2, _plan)
-    async with running(make_owner(StoreStandin(), hall, 1)) as owner:
+    worker_pool = make_worker_pool(2, _plan)
+    async with running(make_owner(StoreStandin(), worker_pool, 1)) as owner:
         await trio.sleep(0.5)
-        with _delay_orders(hall):
+        with _delay_orders(worker_pool):
             await owner.job_api.submit("last", QUEUE, _LASTING_JOB)
             await trio.sleep(0.1)
         sent_at = trio.current_time()
-        await wait_until(lambda: count(hall.journal, "start") == 1)
-        first = next(e for e in hall.journal if e.what == "start")
-        hall.workers[first.worker].restart()
-        await wait_until(lambda: count(hall.journal, "start") == 2)
-        again = [e for e in hall.journal if e.what == "start"][1]
+        await wait_until(lambda: count(worker_pool.journal, "start") == 1)
+        first = next(e for e in worker_pool.journal if e.what == "start")
+        worker_pool.workers[first.worker].restart()
+        await wait_until(lambda: count(worker_pool.journal, "start") == 2)
+        again = [e for e in worker_pool.journal if e.what == "start"][1]
         # The second start is on the next life of that worker, or elsewhere once
         # the first start can no longer be carried out.
         late = again.at - sent_at > const.LATE_START_WINDOW
         assert again.worker == first.worker or late
-    _check_journal(hall)
+    _check_journal(worker_pool)
 
 
 async def test_new_owners_wait_for_a_late_start_no_longer() -> None:
@@ -166,38 +166,38 @@
 
 
 async def _simulate_new_owners() -> None:
-    store, hall = StoreStandin(), make_hall(2, _plan)
-    async with running(make_owner(store, hall, 1)) as owner:
-        sent_at = await _submit_unanswered(owner, hall)
+    store, worker_pool = StoreStandin(), make_worker_pool(2, _plan)
+    async with running(make_owner(store, worker_pool, 1)) as owner:
+        sent_at = await _submit_unanswered(owner, worker_pool)
         await trio.sleep(3.0)
     for epoch in (2, 3):
-        async with running(make_owner(store, hall, epoch)):
+        async with running(make_owner(store, worker_pool, epoch)):
             await trio.sleep(3.0)
-    async with running(make_owner(store, hall, 4)) as owner:
+    async with running(make_owner(store, worker_pool, 4)) as owner:
         await wait_until(lambda: _is_done(owner, "job"))
         took = trio.current_time() - sent_at
     assert took > const.LATE_START_WINDOW
     slack = _OWNER_GAP + const.LEASE + _START_WITHIN
     assert took < const.LATE_START_WINDOW + slack, took
-    assert count(hall.journal, "start") == 1
-    _check_journal(hall)
+    assert count(worker_pool.journal, "start") == 1
+    _check_journal(worker_pool)
 
 
 async def test_an_order_that_never_left_holds_nothing_up() -> None:
-    hall = make_hall(2, _plan)
-    async with running(make_owner(StoreStandin(), hall, 1)) as owner:
+    worker_pool = make_worker_pool(2, _plan)
+    async with running(make_owner(StoreStandin(), worker_pool, 1)) as owner:
         await trio.sleep(0.5)
-        for worker in hall.workers.values():
+        for worker in worker_pool.workers.values():
             worker.crash()
             worker.down = True
         await owner.job_api.submit("job", QUEUE, _SHORT_JOB)
         await trio.sleep(0.1)
-        for worker in hall.workers.values():
+        for worker in worker_pool.workers.values():
             worker.restart()
         await wait_until(
             lambda: _is_done(owner, "job"), const.LEASE + _START_WITHIN
         )
-    _check_journal(hall)
+    _check_journal(worker_pool)
 
 
 @real_time
@@ -223,19 +223,19 @@
 
 
 async def _simulate_killed_owners() -> None:
-    store, hall = StoreStandin(), make_hall(2, _plan)
-    async with running(make_owner(store, hall, 1)) as owner:
-        sent_at = await _submit_unanswered(owner, hall)
+    store, worker_pool = StoreStandin(), make_worker_pool(2, _plan)
+    async with running(make_owner(store, worker_pool, 1)) as owner:
+        sent_at = await _submit_unanswered(owner, worker_pool)
         await trio.sleep(1.0)
-        for worker in hall.workers.values():
+        for worker in worker_pool.workers.values():
             worker.restart()
         await trio.sleep(3.0)
     for epoch in range(2, 12):
-        owner = make_owner(store, hall, epoch, former_quiet=False)
+        owner = make_owner(store, worker_pool, epoch, former_quiet=False)
         async with running(owner):
             await trio.sleep(3.0)
             if _is_done(owner, "job"):
                 break
     slack = _OWNER_GAP + const.LEASE + _START_WITHIN
     assert trio.current_time() - sent_at < const.LATE_START_WINDOW + slack
-    _check_journal(hall)
+    _check_journal(worker_pool)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -37,8 +37,8 @@
     QUEUE,
     WORKER_CAPACITY,
     life,
-    make_hall,
     make_owner,
+    make_worker_pool,
     running,
     spec,
 )
@@ -289,7 +289,7 @@
     return TaskPlan(RUNS_FOREVER, _SERVING_SIZE)
 
 
-async def _run_cell(hall: WorkerPool) -> None:
+async def _run_cell(worker_pool: WorkerPool) -> None:
     """Fills two workers with mixed serving tasks, then best-effort ones."""
     store = StoreStandin()
     learned = LearnedEstimates()
@@ -300,11 +300,13 @@
     record = Record(records.LEARNED_ESTIMATES, learned.encode())
     await store.client("a").append("jobs", [record], 1.0)
     with mock.patch.object(wall, "now", trio.current_time):
-        async with running(make_owner(store, hall, 1)) as owner:
+        async with running(make_owner(store, worker_pool, 1)) as owner:
             for number in range(2):
                 if number:
-                    hall.add(
-                        TaskWorkerStandin(life(1), _plan, hall.journal, seed=1)
+                    worker_pool.add(
+                        TaskWorkerStandin(
+                            life(1), _plan, worker_pool.journal, seed=1
+                        )
                     )
                     await trio.sleep(1.0)
                 for image in "ab":
@@ -342,18 +344,18 @@
 
 
 def test_an_owner_exchanges_what_serves_and_lets_fillers_in() -> None:
-    hall = make_hall(1, _plan)
-    run_virtual(lambda: _run_cell(hall))
-    assert _done(hall.journal) == 6
+    worker_pool = make_worker_pool(1, _plan)
+    run_virtual(lambda: _run_cell(worker_pool))
+    assert _done(worker_pool.journal) == 6
     for job in ("a0", "a1", "b0", "b1"):
-        assert _most_away(hall.journal, job) <= 1, job
+        assert _most_away(worker_pool.journal, job) <= 1, job
 
 
 def test_without_exchanges_the_same_fillers_are_shut_out() -> None:
-    hall = make_hall(1, _plan)
+    worker_pool = make_worker_pool(1, _plan)
     with mock.patch.object(Rebalancer, "pass_over", lambda *_: None):
-        run_virtual(lambda: _run_cell(hall))
-    assert _done(hall.journal) == 0
+        run_virtual(lambda: _run_cell(worker_pool))
+    assert _done(worker_pool.journal) == 0
 
 
 def test_a_demand_is_remembered_between_two_jobs() -> None:
--- a/tests/test_listing_pace.py
+++ b/tests/test_listing_pace.py
@@ -20,7 +20,7 @@
 from tests.owner_fixtures import CONFIG, QUEUE, count, running
 from tests.slow_vm import (
     ChargingClock,
-    make_large_hall,
+    make_large_worker_pool,
     plan_of,
     run_on_slow_vm,
 )
@@ -41,8 +41,8 @@
 
 
 async def _count_listings(clock: ChargingClock) -> None:
-    hall = make_large_hall(clock, _WORKERS, plan_of)
-    access = hall.access("a")
+    worker_pool = make_large_worker_pool(clock, _WORKERS, plan_of)
+    access = worker_pool.access("a")
     platform = CellPlatform(StoreStandin().client("a"), access, access)
     owner = Owner(Claim("jobs", 1, True), platform, lambda: CONFIG)
     listed = 0
@@ -63,8 +63,8 @@
             before = listed
             await trio.sleep(_SECONDS)
             rate = (listed - before) / _SECONDS
-    for worker in hall.workers.values():
+    for worker in worker_pool.workers.values():
         worker.listing()
     assert rate * _LISTING_COST < _SHARE_MOST, rate
     assert rate / _WORKERS * const.LEASE > _RENEWALS_LEAST, rate
-    assert not count(hall.journal, "lapsed")
+    assert not count(worker_pool.journal, "lapsed")
--- a/tests/test_lived_runs.py
+++ b/tests/test_lived_runs.py
@@ -17,8 +17,8 @@
     SMALL,
     count,
     life,
-    make_hall,
     make_owner,
+    make_worker_pool,
     running,
     spec,
     wait_until,
@@ -77,11 +77,11 @@
 
 
 async def test_nothing_is_recorded_while_no_run_may_crash_its_worker() -> None:
-    store, hall = StoreStandin(), make_hall(2, _plan)
-    async with running(make_owner(store, hall, 1)) as owner:
+    store, worker_pool = StoreStandin(), make_worker_pool(2, _plan)
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         watch = spec(StepSpec(2, SMALL, lasting=True))
         await owner.job_api.submit("watch", QUEUE, watch)
-        await wait_until(lambda: count(hall.journal, "start") == 2)
+        await wait_until(lambda: count(worker_pool.journal, "start") == 2)
         await trio.sleep(1.5)
         page = await store.client("a").newest("jobs", 1.0)
     assert not [r for r in page.records if r.key == records.LIVED_RUNS]
--- a/tests/test_new_workers.py
+++ b/tests/test_new_workers.py
@@ -28,8 +28,8 @@
 from tests.owner_fixtures import (
     QUEUE,
     life,
-    make_hall,
     make_owner,
+    make_worker_pool,
     running,
     spec,
 )
@@ -68,7 +68,7 @@
         await trio.sleep(_ARRIVAL_INTERVAL)
 
 
-async def _run_load(hall: WorkerPool, sent: dict[str, float]) -> float:
+async def _run_load(worker_pool: WorkerPool, sent: dict[str, float]) -> float:
     """Runs the load; returns when the new workers were added."""
     store, learned = StoreStandin(), LearnedEstimates()
     learned.disturbance.restore([PairEstimate("serves", "x", 0.0, 0.01)], 0.0)
@@ -76,7 +76,7 @@
     await store.client("a").append("jobs", [record], 1.0)
     with mock.patch.object(wall, "now", trio.current_time):
         async with (
-            running(make_owner(store, hall, 1)) as owner,
+            running(make_owner(store, worker_pool, 1)) as owner,
             trio.open_nursery() as nursery,
         ):
             serves = StepSpec(
@@ -93,9 +93,9 @@
             added_at = trio.current_time()
             for number in range(_WORKERS, _WORKERS + _NEW_WORKERS):
                 new = TaskWorkerStandin(
-                    life(number), _plan, hall.journal, seed=number
+                    life(number), _plan, worker_pool.journal, seed=number
                 )
-                hall.add(new)
+                worker_pool.add(new)
             await trio.sleep(_SECONDS_AFTER)
             nursery.cancel_scope.cancel()
     return added_at
@@ -123,18 +123,18 @@
 
 
 def test_new_workers_carry_their_share_within_seconds() -> None:
-    hall = make_hall(_WORKERS, _plan)
+    worker_pool = make_worker_pool(_WORKERS, _plan)
     sent: dict[str, float] = {}
     added_at = 0.0
 
     async def play() -> None:
         nonlocal added_at
-        added_at = await _run_load(hall, sent)
+        added_at = await _run_load(worker_pool, sent)
 
     run_virtual(play)
-    before = _starts(hall.journal, added_at - 2.0, added_at)
-    shortly_after = _starts(hall.journal, added_at + 1.0, added_at + 3.0)
-    after = _starts(hall.journal, added_at + 5.0, added_at + 8.0)
+    before = _starts(worker_pool.journal, added_at - 2.0, added_at)
+    shortly_after = _starts(worker_pool.journal, added_at + 1.0, added_at + 3.0)
+    after = _starts(worker_pool.journal, added_at + 5.0, added_at + 8.0)
     # A new worker has more free capacity than a crowded one, so the new ones
     # get more than their share of the worker count.
     share = sum(map(_is_new, shortly_after)) / len(shortly_after)
@@ -143,4 +143,4 @@
     assert crowded > 0.3, crowded
     assert relieved < crowded, (relieved, crowded)
     # No serving task was moved away: the new workers had room already.
-    assert not any(event.what == "stopped" for event in hall.journal)
+    assert not any(event.what == "stopped" for event in worker_pool.journal)
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -28,8 +28,8 @@
     find_overlapping_starts,
     find_starts_after_success,
     life,
-    make_hall,
     make_owner,
+    make_worker_pool,
     quick,
     running,
     wait_until,
@@ -46,61 +46,63 @@
 
 
 async def test_a_job_runs_each_task_once_in_the_order_of_its_steps() -> None:
-    store, hall = StoreStandin(), make_hall()
-    async with running(make_owner(store, hall, 1)) as owner:
+    store, worker_pool = StoreStandin(), make_worker_pool()
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         reply = await owner.job_api.submit("j1", QUEUE, chain(3, 2))
         assert reply.outcome is Outcome.OK
         await wait_until(lambda: _ended(owner, "j1"))
         assert owner.job_api.state("j1").state is JobState.COMPLETED
-    starts = [e for e in hall.journal if e.what == "start"]
+    starts = [e for e in worker_pool.journal if e.what == "start"]
     assert len(starts) == 6
     first_done = max(
-        e.at for e in hall.journal if e.what == "done" and e.task.step == 0
+        e.at
+        for e in worker_pool.journal
+        if e.what == "done" and e.task.step == 0
     )
     assert all(e.at >= first_done for e in starts if e.task.step == 1)
 
 
 async def test_the_same_id_again_is_the_same_job() -> None:
-    store, hall = StoreStandin(), make_hall()
-    async with running(make_owner(store, hall, 1)) as owner:
+    store, worker_pool = StoreStandin(), make_worker_pool()
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         for _ in range(3):
             reply = await owner.job_api.submit("j1", QUEUE, chain(2, 1))
             assert reply.outcome is Outcome.OK
         await wait_until(lambda: _ended(owner, "j1"))
         await owner.job_api.submit("j1", QUEUE, chain(2, 1))
         await trio.sleep(2)
-    assert count(hall.journal, "start") == 2
+    assert count(worker_pool.journal, "start") == 2
 
 
 async def test_a_successor_adopts_what_runs_and_starts_nothing_again() -> None:
     store = StoreStandin()
-    hall = make_hall(plan=lambda _: TaskPlan(3.0, SMALL))
-    async with running(make_owner(store, hall, 1)) as owner:
+    worker_pool = make_worker_pool(plan=lambda _: TaskPlan(3.0, SMALL))
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await owner.job_api.submit("j1", QUEUE, chain(4, 1))
-        await wait_until(lambda: count(hall.journal, "start") == 4)
-    async with running(make_owner(store, hall, 2, vm="b")) as owner:
+        await wait_until(lambda: count(worker_pool.journal, "start") == 4)
+    async with running(make_owner(store, worker_pool, 2, vm="b")) as owner:
         await wait_until(lambda: _ended(owner, "j1"))
-    assert count(hall.journal, "start") == 4
-    assert count(hall.journal, "lapsed") == 0
+    assert count(worker_pool.journal, "start") == 4
+    assert count(worker_pool.journal, "lapsed") == 0
 
 
 async def test_an_accepted_job_outlives_its_owner_at_once() -> None:
-    store, hall = StoreStandin(), make_hall()
-    async with running(make_owner(store, hall, 1)) as owner:
+    store, worker_pool = StoreStandin(), make_worker_pool()
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         reply = await owner.job_api.submit("j1", QUEUE, chain(2, 1))
         assert reply.outcome is Outcome.OK
-    async with running(make_owner(store, hall, 2, vm="b")) as owner:
+    async with running(make_owner(store, worker_pool, 2, vm="b")) as owner:
         await wait_until(lambda: _ended(owner, "j1"))
-    assert not find_overlapping_starts(hall.journal)
-    assert not find_starts_after_success(hall.journal)
+    assert not find_overlapping_starts(worker_pool.journal)
+    assert not find_starts_after_success(worker_pool.journal)
 
 
 async def test_without_the_store_jobs_are_refused_and_work_goes_on() -> None:
     store = StoreStandin()
-    hall = make_hall(plan=lambda _: TaskPlan(5.0, SMALL))
-    async with running(make_owner(store, hall, 1)) as owner:
+    worker_pool = make_worker_pool(plan=lambda _: TaskPlan(5.0, SMALL))
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await owner.job_api.submit("j1", QUEUE, chain(4, 1))
-        await wait_until(lambda: count(hall.journal, "start") == 4)
+        await wait_until(lambda: count(worker_pool.journal, "start") == 4)
         store.faults.away = True
         await trio.sleep(const.HEARTBEAT_INTERVAL + const.AWAY_AFTER + 0.2)
         asked_at = trio.current_time()
@@ -115,15 +117,15 @@
         # Entry VMs call this first: one of them may have stored the job.
         assert await owner.import_if_stored("j2")
         assert owner.job_api.state("j2").outcome is Outcome.NO_SUCH_JOB
-    assert count(hall.journal, "lapsed") == 0
-    assert count(hall.journal, "start") == 4
+    assert count(worker_pool.journal, "lapsed") == 0
+    assert count(worker_pool.journal, "start") == 4
 
 
 async def test_a_job_caught_by_an_outage_is_told_so_in_time() -> None:
     # A reply after 2.7 of the 3 s that callers wait was too late; an immediate
     # one made callers use up their retries before the store was back.
-    store, hall = StoreStandin(), make_hall()
-    async with running(make_owner(store, hall, 1)) as owner:
+    store, worker_pool = StoreStandin(), make_worker_pool()
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         store.faults.away = True
         asked_at = trio.current_time()
         reply = await owner.job_api.submit("j1", QUEUE, chain(1, 1))
@@ -141,14 +143,14 @@
         again = await owner.job_api.submit("j1", QUEUE, chain(1, 1))
         assert again.outcome is Outcome.OK
         await wait_until(lambda: _ended(owner, "j1"))
-    assert count(hall.journal, "start") == 1
+    assert count(worker_pool.journal, "start") == 1
 
 
 async def test_a_store_that_turns_the_owner_away_is_known_at_once() -> None:
     # In a simulated day 38 callers got no definite reply in a store outage,
     # most of them for jobs that were accepted after the outage had begun.
-    store, hall = StoreStandin(), make_hall()
-    async with running(make_owner(store, hall, 1)) as owner:
+    store, worker_pool = StoreStandin(), make_worker_pool()
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         store.faults.refused.add("a")
         async with trio.open_nursery() as nursery:
             nursery.start_soon(owner.job_api.submit, "j0", QUEUE, chain(1, 1))
@@ -165,10 +167,10 @@
 
 async def test_an_accepted_job_is_confirmed_while_the_store_is_away() -> None:
     store = StoreStandin()
-    hall = make_hall(1, plan=lambda _: TaskPlan(9.0, SMALL))
-    async with running(make_owner(store, hall, 1)) as owner:
+    worker_pool = make_worker_pool(1, plan=lambda _: TaskPlan(9.0, SMALL))
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await owner.job_api.submit("j1", QUEUE, chain(1, 1))
-        await wait_until(lambda: count(hall.journal, "start") == 1)
+        await wait_until(lambda: count(worker_pool.journal, "start") == 1)
         store.faults.away = True
         await trio.sleep(const.HEARTBEAT_INTERVAL + const.AWAY_AFTER + 0.2)
         again = await owner.job_api.submit("j1", QUEUE, chain(1, 1))
@@ -176,8 +178,8 @@
 
 
 async def test_no_job_is_denied_while_a_successor_may_know_it() -> None:
-    store, hall = StoreStandin(), make_hall()
-    async with running(make_owner(store, hall, 1)) as owner:
+    store, worker_pool = StoreStandin(), make_worker_pool()
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         store.faults.refused.add("a")
         await trio.sleep(const.MAX_ACK_AGE + const.HEARTBEAT_INTERVAL + 0.1)
         assert owner.job_api.state("unknown").outcome is Outcome.STORE_AWAY
@@ -186,38 +188,46 @@
 
 async def test_a_crashed_workers_tasks_start_again_once_it_is_back() -> None:
     store = StoreStandin()
-    hall = make_hall(2, plan=lambda _: TaskPlan(4.0, SMALL))
-    async with running(make_owner(store, hall, 1)) as owner:
+    worker_pool = make_worker_pool(2, plan=lambda _: TaskPlan(4.0, SMALL))
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await owner.job_api.submit("j1", QUEUE, chain(6, 1))
-        await wait_until(lambda: count(hall.journal, "start") == 6)
+        await wait_until(lambda: count(worker_pool.journal, "start") == 6)
         crashed_at = trio.current_time()
-        crashed = hall.workers.pop("w0-0")
+        crashed = worker_pool.workers.pop("w0-0")
         crashed.crash()
-        hall.add(TaskWorkerStandin(life(0, 1), quick, hall.journal))
-        lost = count(hall.journal, "lost")
+        worker_pool.add(
+            TaskWorkerStandin(life(0, 1), quick, worker_pool.journal)
+        )
+        lost = count(worker_pool.journal, "lost")
         assert lost > 0
-        await wait_until(lambda: count(hall.journal, "start") == 6 + lost)
+        await wait_until(
+            lambda: count(worker_pool.journal, "start") == 6 + lost
+        )
         assert trio.current_time() - crashed_at < 1.5
         await wait_until(lambda: _ended(owner, "j1"))
-    assert not find_overlapping_starts(hall.journal)
+    assert not find_overlapping_starts(worker_pool.journal)
 
 
 async def test_a_silent_workers_tasks_wait_for_its_lease() -> None:
     store = StoreStandin()
-    hall = make_hall(2, plan=lambda _: TaskPlan(20.0, SMALL))
-    async with running(make_owner(store, hall, 1)) as owner:
+    worker_pool = make_worker_pool(2, plan=lambda _: TaskPlan(20.0, SMALL))
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await owner.job_api.submit("j1", QUEUE, chain(4, 1))
-        await wait_until(lambda: count(hall.journal, "start") == 4)
+        await wait_until(lambda: count(worker_pool.journal, "start") == 4)
         await trio.sleep(1)
-        victim = hall.journal[0].worker
-        hall.cut["a"].add(victim)
+        victim = worker_pool.journal[0].worker
+        worker_pool.cut["a"].add(victim)
         cut_at = trio.current_time()
-        on_it = sum(e.worker == victim for e in hall.journal)
-        await wait_until(lambda: count(hall.journal, "start") == 4 + on_it)
+        on_it = sum(e.worker == victim for e in worker_pool.journal)
+        await wait_until(
+            lambda: count(worker_pool.journal, "start") == 4 + on_it
+        )
         assert trio.current_time() - cut_at > const.LEASE - const.LISTING_WAIT
         # The stand-in logs lapsed runs only when it is asked for a listing.
-        hall.workers[victim].listing()
-    events = sorted(hall.journal, key=lambda e: (e.at, e.what == "start"))
+        worker_pool.workers[victim].listing()
+    events = sorted(
+        worker_pool.journal, key=lambda e: (e.at, e.what == "start")
+    )
     lapsed = [e for e in events if e.what == "lapsed"]
     assert len(lapsed) == on_it
 
@@ -245,19 +255,21 @@
 
 async def test_a_job_fails_after_its_attempts_and_not_before() -> None:
     store = StoreStandin()
-    hall = make_hall(plan=lambda _: TaskPlan(0.2, SMALL, fails=True))
-    async with running(make_owner(store, hall, 1)) as owner:
+    worker_pool = make_worker_pool(
+        plan=lambda _: TaskPlan(0.2, SMALL, fails=True)
+    )
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await owner.job_api.submit("j1", QUEUE, chain(1, 1))
         await wait_until(lambda: _ended(owner, "j1"))
         assert owner.job_api.state("j1").state is JobState.FAILED
-    assert count(hall.journal, "start") == QUEUE.attempts
+    assert count(worker_pool.journal, "start") == QUEUE.attempts
 
 
 async def test_a_worker_that_fails_everything_costs_no_job() -> None:
     store = StoreStandin()
-    hall = make_hall(4, plan=lambda _: TaskPlan(0.3, SMALL))
-    hall.workers["w1-0"].faults.fails_all = True
-    async with running(make_owner(store, hall, 1)) as owner:
+    worker_pool = make_worker_pool(4, plan=lambda _: TaskPlan(0.3, SMALL))
+    worker_pool.workers["w1-0"].faults.fails_all = True
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         jobs = [f"j{n}" for n in range(12)]
         for job in jobs:
             await owner.job_api.submit(job, QUEUE, chain(2, 2))
@@ -265,95 +277,98 @@
         await wait_until(lambda: all(_ended(owner, job) for job in jobs))
         states = {owner.job_api.state(job).state for job in jobs}
         assert states == {JobState.COMPLETED}
-    failed = count(hall.journal, "failed")
+    failed = count(worker_pool.journal, "failed")
     assert failed < 12, failed
 
 
 async def test_a_worker_that_stands_still_loses_its_tasks() -> None:
     store = StoreStandin()
-    hall = make_hall(3, plan=lambda _: TaskPlan(1.0, SMALL))
-    hall.workers["w0-0"].faults.hangs = True
-    async with running(make_owner(store, hall, 1)) as owner:
+    worker_pool = make_worker_pool(3, plan=lambda _: TaskPlan(1.0, SMALL))
+    worker_pool.workers["w0-0"].faults.hangs = True
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await owner.job_api.submit("j1", QUEUE, chain(12, 1))
         await wait_until(lambda: _ended(owner, "j1"), timeout=12)
-    assert not find_overlapping_starts(hall.journal)
+    assert not find_overlapping_starts(worker_pool.journal)
 
 
 async def test_a_cancelled_job_stops_and_never_starts_again() -> None:
     store = StoreStandin()
-    hall = make_hall(plan=lambda _: TaskPlan(60.0, SMALL))
-    async with running(make_owner(store, hall, 1)) as owner:
+    worker_pool = make_worker_pool(plan=lambda _: TaskPlan(60.0, SMALL))
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await owner.job_api.submit("j1", QUEUE, chain(4, 1))
-        await wait_until(lambda: count(hall.journal, "start") == 4)
+        await wait_until(lambda: count(worker_pool.journal, "start") == 4)
         await owner.job_api.cancel("j1")
         cancelled_at = trio.current_time()
-        await wait_until(lambda: count(hall.journal, "stopped") == 4)
+        await wait_until(lambda: count(worker_pool.journal, "stopped") == 4)
         assert trio.current_time() - cancelled_at < 0.5
         await trio.sleep(3)
         # A late repeat of the submission does not restart the job.
         await owner.job_api.submit("j1", QUEUE, chain(4, 1))
         await trio.sleep(2)
         assert owner.job_api.state("j1").state is JobState.CANCELLED
-    assert count(hall.journal, "start") == 4
+    assert count(worker_pool.journal, "start") == 4
 
 
 async def test_an_owner_that_gives_its_cell_back_decides_nothing_more() -> None:
     # On a slow VM a released owner went on deciding for 1.9 s, until a
     # successor claimed the cell.
-    store, hall = StoreStandin(), make_hall(2)
-    async with running(make_owner(store, hall, 1)) as owner:
+    store, worker_pool = StoreStandin(), make_worker_pool(2)
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         store.faults.delay = 0.4
         before = decisions.counts()["run_decided"]
         owner.release()
         await owner.job_api.submit("j1", QUEUE, chain(2, 1))
         await trio.sleep(2.0)
         assert decisions.counts()["run_decided"] == before
-    async with running(make_owner(store, hall, 2)):
-        await wait_until(lambda: count(hall.journal, "start") == 2)
+    async with running(make_owner(store, worker_pool, 2)):
+        await wait_until(lambda: count(worker_pool.journal, "start") == 2)
 
 
 async def test_no_end_heard_as_the_cell_is_given_back_is_forgotten() -> None:
     # An ending received after the release was not stored. Its worker then left,
     # and the successor waited for the lease of the task.
-    store, hall = StoreStandin(), make_hall(2, plan=lambda _: _FAILS_SOON)
-    async with running(make_owner(store, hall, 1)) as owner:
+    store, worker_pool = (
+        StoreStandin(),
+        make_worker_pool(2, plan=lambda _: _FAILS_SOON),
+    )
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await owner.job_api.submit("j1", QUEUE, chain(1, 1))
-        await wait_until(lambda: count(hall.journal, "start") == 1)
+        await wait_until(lambda: count(worker_pool.journal, "start") == 1)
         store.faults.delay = 0.4
         # The task ends while the last records are being stored.
         await trio.sleep(0.6)
         owner.release()
-        await wait_until(lambda: count(hall.journal, "failed") == 1)
+        await wait_until(lambda: count(worker_pool.journal, "failed") == 1)
         await trio.sleep(2.0)
-    first = hall.journal[0].worker
-    hall.workers[first].crash()
-    hall.unlisted.add(first)
-    hall.workers[first].faults.silent = True
+    first = worker_pool.journal[0].worker
+    worker_pool.workers[first].crash()
+    worker_pool.unlisted.add(first)
+    worker_pool.workers[first].faults.silent = True
     store.faults.delay = 0.004
     began = trio.current_time()
-    async with running(make_owner(store, hall, 2)):
-        await wait_until(lambda: count(hall.journal, "start") == 2)
+    async with running(make_owner(store, worker_pool, 2)):
+        await wait_until(lambda: count(worker_pool.journal, "start") == 2)
     assert trio.current_time() - began < 1.0
 
 
 async def test_a_former_owner_can_neither_write_nor_start() -> None:
-    store, hall = StoreStandin(), make_hall()
-    former = make_owner(store, hall, 1)
+    store, worker_pool = StoreStandin(), make_worker_pool()
+    former = make_owner(store, worker_pool, 1)
     async with running(former):
-        async with running(make_owner(store, hall, 2, vm="b")) as owner:
+        async with running(make_owner(store, worker_pool, 2, vm="b")) as owner:
             await owner.job_api.submit("j1", QUEUE, chain(1, 1))
             with trio.fail_after(const.UNSURE_AFTER + 0.3):
                 reply = await former.job_api.submit("late", QUEUE, chain(1, 1))
             assert reply.outcome is Outcome.UNSURE
             await wait_until(lambda: _ended(owner, "j1"))
             assert owner.job_api.state("late").outcome is Outcome.NO_SUCH_JOB
-    assert {e.task.job for e in hall.journal} == {"j1"}
+    assert {e.task.job for e in worker_pool.journal} == {"j1"}
 
 
 async def test_an_epoch_fences_the_lower_one_at_the_store() -> None:
     store = StoreStandin()
-    await make_owner(store, make_hall(), 5).ledger.open()
-    lower = make_owner(store, make_hall(), 4).ledger
+    await make_owner(store, make_worker_pool(), 5).ledger.open()
+    lower = make_owner(store, make_worker_pool(), 4).ledger
     try:
         await lower.open()
     except FencedError:
@@ -362,23 +377,23 @@
 
 
 async def test_records_of_another_form_are_left_alone() -> None:
-    store, hall = StoreStandin(), make_hall()
+    store, worker_pool = StoreStandin(), make_worker_pool()
     client = store.client("a")
     await client.append(
         "jobs", [Record("jbad", b"\xc1"), Record("pj1", b"\x90")], 1.0
     )
-    async with running(make_owner(store, hall, 1)) as owner:
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await owner.job_api.submit("j1", QUEUE, chain(1, 1))
         await wait_until(lambda: _ended(owner, "j1"))
 
 
 async def test_starts_refused_as_late_are_decided_anew() -> None:
-    store, hall = StoreStandin(), make_hall(1)
+    store, worker_pool = StoreStandin(), make_worker_pool(1)
     store.faults.delay = 0.4
-    async with running(make_owner(store, hall, 1)) as owner:
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await owner.job_api.submit("j1", QUEUE, chain(3, 2))
         await wait_until(lambda: _ended(owner, "j1"), timeout=60)
-    assert not find_overlapping_starts(hall.journal)
+    assert not find_overlapping_starts(worker_pool.journal)
 
 
 def test_a_task_name_is_spelled_by_its_parts() -> None:
@@ -404,11 +419,11 @@
     ) -> None:
         await trio.sleep(0.2)
 
-    hall = make_hall(2, plan=fails_first)
+    worker_pool = make_worker_pool(2, plan=fails_first)
     with mock.patch.object(LeaseKeeper, "_note_endings", never_noted):
         for epoch in range(1, QUEUE.attempts + 2):
-            async with running(make_owner(store, hall, epoch)) as owner:
+            async with running(make_owner(store, worker_pool, epoch)) as owner:
                 await owner.job_api.submit("j1", QUEUE, chain(1, 1))
                 await trio.sleep(2)
                 assert owner.job_api.state("j1").state is JobState.RUNNING
-    assert count(hall.journal, "failed") == 1
+    assert count(worker_pool.journal, "failed") == 1
--- a/tests/test_owner_chaos.py
+++ b/tests/test_owner_chaos.py
@@ -44,8 +44,8 @@
     find_starts_after_success,
     find_starts_over_attempts,
     life,
-    make_hall,
     make_owner,
+    make_worker_pool,
     running,
     used_all_attempts,
 )
@@ -89,11 +89,11 @@
         self._late_probability = 0.0 if evacuations else 0.1
         self.zones = ClosedZones()
         self.store = StoreStandin(seed)
-        self.hall: WorkerPool = make_hall(_WORKERS, self.plan)
+        self.worker_pool: WorkerPool = make_worker_pool(_WORKERS, self.plan)
         self.accepted: set[str] = set()
         self.generation = 0
         self._submitted = 0
-        for worker in self.hall.workers.values():
+        for worker in self.worker_pool.workers.values():
             worker.faults.late = self._late_probability
             worker.faults.lost = 0.1
             worker.life = self._listed(worker.life)
@@ -146,22 +146,22 @@
 
     async def inject_faults(self, vm: str) -> None:
         """Starts some faults and ends others."""
-        cut_off = self.hall.cut.setdefault(vm, set())
+        cut_off = self.worker_pool.cut.setdefault(vm, set())
         cut_off.clear()
-        lives = sorted(self.hall.workers)
+        lives = sorted(self.worker_pool.workers)
         for life_id in self.random.sample(lives, 2):
             cut_off.add(life_id)
         self.store.faults.away = self.random.random() < 0.3
         if self.random.random() < 0.4:
             self._replace_worker(self.random.choice(lives))
         if self._restarts and self.random.random() < 0.6:
-            lives = sorted(self.hall.workers)
-            self.hall.workers[self.random.choice(lives)].restart()
+            lives = sorted(self.worker_pool.workers)
+            self.worker_pool.workers[self.random.choice(lives)].restart()
         for life_id in (
-            sorted(self.hall.workers) if self._frequent_restarts else ()
+            sorted(self.worker_pool.workers) if self._frequent_restarts else ()
         ):
             if self.random.random() < _RESTART_SHARE:
-                self.hall.workers[life_id].restart()
+                self.worker_pool.workers[life_id].restart()
         if not self._evacuations:
             await trio.sleep(self.random.uniform(0.5, 5.0))
         for _ in range(3 if self._evacuations else 0):
@@ -171,17 +171,17 @@
 
     def _replace_worker(self, life_id: str) -> None:
         self.generation += 1
-        old = self.hall.workers.pop(life_id)
+        old = self.worker_pool.workers.pop(life_id)
         old.crash()
         old.down = False
         number = int(old.life.machine[1:])
         born = old.life.born + 1
         new = self._listed(life(number, self.generation)._replace(born=born))
         worker = TaskWorkerStandin(
-            new, self.plan, self.hall.journal, seed=self.generation
+            new, self.plan, self.worker_pool.journal, seed=self.generation
         )
         worker.faults.late, worker.faults.lost = self._late_probability, 0.1
-        self.hall.add(worker)
+        self.worker_pool.add(worker)
 
     def _listed(self, entry: WorkerLife) -> WorkerLife:
         entry = entry._replace(zone=_zone_of(entry.id))
@@ -192,9 +192,9 @@
         self.zones.open_all()
         self.store.faults.away = False
         self.store.faults.lost = self.store.faults.late = 0.0
-        for cut_off in self.hall.cut.values():
+        for cut_off in self.worker_pool.cut.values():
             cut_off.clear()
-        for worker in self.hall.workers.values():
+        for worker in self.worker_pool.workers.values():
             worker.faults.late = worker.faults.lost = 0.0
 
 
@@ -240,7 +240,9 @@
     )
     with mock.patch.object(wall, "now", trio.current_time):
         async with trio.open_nursery() as nursery:
-            supervisor = Supervisor(history.hall, history.plan, seed=seed)
+            supervisor = Supervisor(
+                history.worker_pool, history.plan, seed=seed
+            )
             nursery.start_soon(supervisor.run)
             states = await _run_owners(history)
             nursery.cancel_scope.cancel()
@@ -253,7 +255,7 @@
         vm = f"vm{epoch % 3}"
         owner = make_owner(
             history.store,
-            history.hall,
+            history.worker_pool,
             epoch,
             vm=vm,
             former_quiet=False,
@@ -267,7 +269,9 @@
                 await history.submit_jobs(owner)
                 await history.inject_faults(vm)
     history.end_faults()
-    owner = make_owner(history.store, history.hall, _ROUNDS + 1, vm="last")
+    owner = make_owner(
+        history.store, history.worker_pool, _ROUNDS + 1, vm="last"
+    )
     async with running(owner):
         with trio.move_on_after(_END_TIMEOUT):
             while not all(
@@ -278,7 +282,7 @@
         states = {
             job: owner.job_api.state(job).state for job in history.accepted
         }
-    for worker in history.hall.workers.values():
+    for worker in history.worker_pool.workers.values():
         worker.listing()
     return states
 
@@ -287,7 +291,7 @@
     history: _History, states: dict[str, JobState | None], seed: int
 ) -> None:
     journal = sorted(
-        history.hall.journal, key=lambda e: (e.at, e.what == "start")
+        history.worker_pool.journal, key=lambda e: (e.at, e.what == "start")
     )
     assert history.accepted
     assert not find_overlapping_starts(journal), (
--- a/tests/test_owner_lateness.py
+++ b/tests/test_owner_lateness.py
@@ -31,8 +31,8 @@
 )
 from tests.slow_vm import (
     ChargingClock,
-    LargeHall,
-    make_large_hall,
+    LargeWorkerPool,
+    make_large_worker_pool,
     plan_of,
     run_on_slow_vm,
 )
@@ -106,48 +106,48 @@
     assert decisions.counts()["late"] - noted == 1
 
 
-async def _keep_leases(hall: LargeHall) -> None:
+async def _keep_leases(worker_pool: LargeWorkerPool) -> None:
     before = Counter(decisions.counts())
     await trio.sleep(_SECONDS)
-    _list_all(hall)
+    _list_all(worker_pool)
     silent = decisions.counts()["worker_silent"] - before["worker_silent"]
-    lapsed = count(hall.journal, "lapsed")
+    lapsed = count(worker_pool.journal, "lapsed")
     assert (silent, lapsed) == (0, 0), (silent, lapsed)
 
 
-async def _lose_one(hall: LargeHall) -> None:
+async def _lose_one(worker_pool: LargeWorkerPool) -> None:
     await trio.sleep(_WARM_UP)
-    starts = count(hall.journal, "start")
+    starts = count(worker_pool.journal, "start")
     lost = decisions.counts()["runs_lost"]
-    victim = hall.journal[0].worker
-    on_it = len({e.task for e in hall.journal if e.worker == victim})
-    hall.cut["a"].add(victim)
+    victim = worker_pool.journal[0].worker
+    on_it = len({e.task for e in worker_pool.journal if e.worker == victim})
+    worker_pool.cut["a"].add(victim)
     with trio.fail_after(_MAX_LAPSE_SECONDS):
         while decisions.counts()["runs_lost"] == lost:
             await trio.sleep(0.05)
     with trio.fail_after(_MAX_START_SECONDS):
-        while count(hall.journal, "start") < starts + on_it:
+        while count(worker_pool.journal, "start") < starts + on_it:
             await trio.sleep(0.05)
-    _list_all(hall)
-    assert not find_overlapping_starts(sorted(hall.journal, key=_when))
+    _list_all(worker_pool)
+    assert not find_overlapping_starts(sorted(worker_pool.journal, key=_when))
 
 
 def _when(event: RunEvent) -> tuple[float, bool]:
     return event.at, event.what == "start"
 
 
-def _list_all(hall: LargeHall) -> None:
+def _list_all(worker_pool: LargeWorkerPool) -> None:
     """Asks all workers for a listing, as only then they log lapsed runs."""
-    for worker in hall.workers.values():
+    for worker in worker_pool.workers.values():
         worker.listing()
 
 
 def _with_stalls(
-    stalls: _Stalls, scenario: Callable[[LargeHall], Awaitable[None]]
+    stalls: _Stalls, scenario: Callable[[LargeWorkerPool], Awaitable[None]]
 ) -> Callable[[ChargingClock], Awaitable[None]]:
     async def run(clock: ChargingClock) -> None:
-        async with _stalled_cell(clock, stalls) as hall:
-            await scenario(hall)
+        async with _stalled_cell(clock, stalls) as worker_pool:
+            await scenario(worker_pool)
 
     return run
 
@@ -155,10 +155,10 @@
 @asynccontextmanager
 async def _stalled_cell(
     clock: ChargingClock, stalls: _Stalls
-) -> AsyncIterator[LargeHall]:
+) -> AsyncIterator[LargeWorkerPool]:
     """Runs an owner of long-running tasks and blocks its thread repeatedly."""
-    hall = make_large_hall(clock, _WORKERS, plan_of)
-    access = hall.access("a")
+    worker_pool = make_large_worker_pool(clock, _WORKERS, plan_of)
+    access = worker_pool.access("a")
     platform = CellPlatform(StoreStandin().client("a"), access, access)
     owner = Owner(Claim("jobs", 1, True), platform, lambda: CONFIG)
     async with running(owner), trio.open_nursery() as nursery:
@@ -167,10 +167,10 @@
                 f"last{number}", QUEUE, serving_job(number)
             )
         with trio.fail_after(10.0):
-            while count(hall.journal, "start") < 14 * _JOBS:
+            while count(worker_pool.journal, "start") < 14 * _JOBS:
                 await trio.sleep(0.1)
         nursery.start_soon(_keep_busy, clock, stalls)
-        yield hall
+        yield worker_pool
         nursery.cancel_scope.cancel()
 
 
--- a/tests/test_owner_metrics.py
+++ b/tests/test_owner_metrics.py
@@ -28,15 +28,15 @@
 from tests.owner_fixtures import (
     QUEUE,
     chain,
-    make_hall,
     make_owner,
+    make_worker_pool,
     running,
     wait_until,
 )
 from tests.platform_fixtures import loopback_platform, write_settings
 from tests.slow_vm import (
     ChargingClock,
-    make_large_hall,
+    make_large_worker_pool,
     plan_of,
     run_on_slow_vm,
 )
@@ -77,13 +77,13 @@
 
 
 async def test_a_take_over_tells_each_of_its_phases() -> None:
-    store, hall = StoreStandin(), make_hall(_WORKERS)
-    async with running(make_owner(store, hall, 1)) as owner:
+    store, worker_pool = StoreStandin(), make_worker_pool(_WORKERS)
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await owner.job_api.submit("j1", QUEUE, chain(2, 3))
-        await wait_until(lambda: bool(hall.journal))
+        await wait_until(lambda: bool(worker_pool.journal))
         await trio.sleep(0.1)
     with _enabled_log() as log:
-        async with running(make_owner(store, hall, 2)):
+        async with running(make_owner(store, worker_pool, 2)):
             await trio.sleep(8.0)
     (read,) = _lines(log, "owner_read")
     assert (read.fields["epoch"], read.fields["jobs"]) == (2, 1)
@@ -97,12 +97,12 @@
 
 
 async def test_a_take_over_that_lacks_workers_says_how_many() -> None:
-    store, hall = StoreStandin(), make_hall(_WORKERS)
-    hall.cut["a"] = {"w1-0"}
+    store, worker_pool = StoreStandin(), make_worker_pool(_WORKERS)
+    worker_pool.cut["a"] = {"w1-0"}
     with _enabled_log() as log:
-        async with running(make_owner(store, hall, 1)):
+        async with running(make_owner(store, worker_pool, 1)):
             await trio.sleep(30.0)
-            hall.cut["a"].clear()
+            worker_pool.cut["a"].clear()
             await trio.sleep(3.0)
     worker_counts = [
         line.fields["workers"] for line in _lines(log, "owner_adopts")
@@ -113,10 +113,10 @@
 
 async def test_calls_that_workers_leave_unanswered_are_counted() -> None:
     before = _metrics()
-    store, hall = StoreStandin(), make_hall(_WORKERS)
-    async with running(make_owner(store, hall, 1)):
+    store, worker_pool = StoreStandin(), make_worker_pool(_WORKERS)
+    async with running(make_owner(store, worker_pool, 1)):
         await trio.sleep(2.0)
-        hall.cut["a"].update({"w0-0", "w1-0"})
+        worker_pool.cut["a"].update({"w0-0", "w1-0"})
         await trio.sleep(5.0)
     unanswered = 'pimentocross_calls_unanswered_total{call="hold"}'
     assert _increase(before, unanswered) >= 4
@@ -139,9 +139,9 @@
 
     async def run(clock: ChargingClock) -> None:
         nonlocal took
-        hall = make_large_hall(clock, 20, plan_of)
+        worker_pool = make_large_worker_pool(clock, 20, plan_of)
         began = trio.current_time()
-        async with running(make_owner(StoreStandin(), hall, 1)) as owner:
+        async with running(make_owner(StoreStandin(), worker_pool, 1)) as owner:
             for number in range(6):
                 job = f"fill{number}"
                 await owner.job_api.submit(job, QUEUE, best_effort_job(number))
--- a/tests/test_owner_steps.py
+++ b/tests/test_owner_steps.py
@@ -32,8 +32,8 @@
     chain,
     count,
     life,
-    make_hall,
     make_owner,
+    make_worker_pool,
     quick,
     running,
     spec,
@@ -50,11 +50,13 @@
 
 async def test_a_task_that_lasts_is_started_again_however_it_ends() -> None:
     store = StoreStandin()
-    hall = make_hall(plan=lambda _: TaskPlan(2.0, SMALL, fails=True))
+    worker_pool = make_worker_pool(
+        plan=lambda _: TaskPlan(2.0, SMALL, fails=True)
+    )
     step = StepSpec(2, SMALL, lasting=True)
-    async with running(make_owner(store, hall, 1)) as owner:
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await owner.job_api.submit("w1", QUEUE, spec(step))
-        await wait_until(lambda: count(hall.journal, "start") >= 10)
+        await wait_until(lambda: count(worker_pool.journal, "start") >= 10)
         assert owner.job_api.state("w1").state is JobState.RUNNING
 
 
@@ -64,21 +66,21 @@
     # A watch that had failed waited 40 s for capacity that was free, but kept
     # for short tasks.
     store = StoreStandin()
-    hall = make_hall(
+    worker_pool = make_worker_pool(
         2,
         plan=lambda name: TaskPlan(
             0.2 if name.job == "short" else RUNS_FOREVER, SMALL
         ),
     )
-    async with running(make_owner(store, hall, 1)) as owner:
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await owner.job_api.submit("short", QUEUE, chain(4, 1))
         await wait_until(lambda: _ended(owner, "short"))
         many = StepSpec(14, SMALL, lasting=True)
         await owner.job_api.submit("w1", QUEUE, spec(many))
-        await wait_until(lambda: count(hall.journal, "start") == 4 + 14)
+        await wait_until(lambda: count(worker_pool.journal, "start") == 4 + 14)
         await owner.job_api.submit("w2", QUEUE, spec(many._replace(width=2)))
         asked_at = trio.current_time()
-        await wait_until(lambda: count(hall.journal, "start") == 4 + 16)
+        await wait_until(lambda: count(worker_pool.journal, "start") == 4 + 16)
         assert 2.0 < trio.current_time() - asked_at < 4.0
 
 
@@ -106,26 +108,26 @@
 
 async def test_a_step_runs_only_where_its_adviser_lets_it() -> None:
     store = StoreStandin()
-    hall = make_hall(5, plan=lambda _: TaskPlan(0.5, SMALL))
+    worker_pool = make_worker_pool(5, plan=lambda _: TaskPlan(0.5, SMALL))
     queue = QUEUE._replace(asks_adviser=True)
     config = CONFIG._replace(queues=(queue,))
     adviser = _Adviser(failing=2)
-    owner = make_owner(store, hall, 1, config=config, adviser=adviser)
+    owner = make_owner(store, worker_pool, 1, config=config, adviser=adviser)
     async with running(owner):
         await owner.job_api.submit("j1", queue, chain(12, 2))
         await wait_until(lambda: _ended(owner, "j1"))
-    assert {e.worker for e in hall.journal} == {"w1-0", "w3-0"}
+    assert {e.worker for e in worker_pool.journal} == {"w1-0", "w3-0"}
     assert adviser.calls <= 6, adviser.calls
 
 
 async def test_each_occurrence_runs_at_its_time() -> None:
-    store, hall = StoreStandin(), make_hall()
+    store, worker_pool = StoreStandin(), make_worker_pool()
     timed = JobSpec("x", chain(2, 1).steps, 3, first_due=5.0, interval=4.0)
     with mock.patch.object(wall, "now", trio.current_time):
-        async with running(make_owner(store, hall, 1)) as owner:
+        async with running(make_owner(store, worker_pool, 1)) as owner:
             await owner.job_api.submit("j1", QUEUE, timed)
             await wait_until(lambda: _ended(owner, "j1"))
-    starts = sorted(e.at for e in hall.journal if e.what == "start")
+    starts = sorted(e.at for e in worker_pool.journal if e.what == "start")
     assert len(starts) == 6
     for number, at in enumerate(starts):
         due = 5.0 + 4.0 * (number // 2)
@@ -133,15 +135,15 @@
 
 
 async def test_a_successor_keeps_the_times_of_occurrences() -> None:
-    store, hall = StoreStandin(), make_hall()
+    store, worker_pool = StoreStandin(), make_worker_pool()
     timed = JobSpec("x", chain(1, 1).steps, 2, first_due=1.0, interval=5.0)
     with mock.patch.object(wall, "now", trio.current_time):
-        async with running(make_owner(store, hall, 1)) as owner:
+        async with running(make_owner(store, worker_pool, 1)) as owner:
             await owner.job_api.submit("j1", QUEUE, timed)
             await trio.sleep(3)
-        async with running(make_owner(store, hall, 2, vm="b")) as owner:
+        async with running(make_owner(store, worker_pool, 2, vm="b")) as owner:
             await wait_until(lambda: _ended(owner, "j1"))
-    assert count(hall.journal, "start") == 2
+    assert count(worker_pool.journal, "start") == 2
 
 
 def test_a_job_of_too_many_tasks_is_refused_by_its_number() -> None:
@@ -157,58 +159,66 @@
 async def test_a_gang_starts_whole_or_not_at_all() -> None:
     store = StoreStandin()
     # Two workers of 8 cores have capacity for 16 of these 20 members.
-    hall = make_hall(2, plan=lambda _: TaskPlan(1.0, SMALL))
+    worker_pool = make_worker_pool(2, plan=lambda _: TaskPlan(1.0, SMALL))
     wide = StepSpec(20, SMALL, 1.0, gang=True)
     fits = StepSpec(12, SMALL, 1.0, gang=True)
-    async with running(make_owner(store, hall, 1)) as owner:
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await owner.job_api.submit("wide", QUEUE, spec(wide))
         await owner.job_api.submit("fits", QUEUE, spec(fits))
         await wait_until(lambda: _ended(owner, "fits"))
         assert owner.job_api.state("wide").state is JobState.QUEUED
-    assert count(hall.journal, "start") == 12
+    assert count(worker_pool.journal, "start") == 12
 
 
 async def test_no_more_tasks_of_a_step_share_a_worker_than_allowed() -> None:
     store = StoreStandin()
-    hall = make_hall(3, plan=lambda _: TaskPlan(RUNS_FOREVER, SMALL))
+    worker_pool = make_worker_pool(
+        3, plan=lambda _: TaskPlan(RUNS_FOREVER, SMALL)
+    )
     step = StepSpec(9, SMALL, lasting=True, per_worker=2)
-    async with running(make_owner(store, hall, 1)) as owner:
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await owner.job_api.submit("w1", QUEUE, spec(step))
         await trio.sleep(2)
     per_worker: dict[str, int] = {}
-    for event in hall.journal:
+    for event in worker_pool.journal:
         per_worker[event.worker] = per_worker.get(event.worker, 0) + 1
     assert per_worker == {"w0-0": 2, "w1-0": 2, "w2-0": 2}
 
 
 async def test_a_step_runs_only_where_its_label_is() -> None:
-    store, hall = StoreStandin(), make_hall(2)
-    special = life(9)._replace(labels=("other", "r2"))
-    hall.add(TaskWorkerStandin(special, quick, hall.journal))
-    async with running(make_owner(store, hall, 1)) as owner:
+    store, worker_pool = StoreStandin(), make_worker_pool(2)
+    other_labels_life = life(9)._replace(labels=("other", "r2"))
+    worker_pool.add(
+        TaskWorkerStandin(other_labels_life, quick, worker_pool.journal)
+    )
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await owner.job_api.submit(
             "j1", QUEUE, spec(StepSpec(4, SMALL, label="other"))
         )
         await wait_until(lambda: _ended(owner, "j1"))
-    assert {e.worker for e in hall.journal} == {"w9-0"}
+    assert {e.worker for e in worker_pool.journal} == {"w9-0"}
 
 
 async def test_a_draining_worker_gets_nothing_and_gives_what_lasts_away() -> (
     None
 ):
     store = StoreStandin()
-    hall = make_hall(2, plan=lambda _: TaskPlan(RUNS_FOREVER, SMALL))
+    worker_pool = make_worker_pool(
+        2, plan=lambda _: TaskPlan(RUNS_FOREVER, SMALL)
+    )
     step = StepSpec(4, SMALL, lasting=True)
-    async with running(make_owner(store, hall, 1)) as owner:
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await owner.job_api.submit("w1", QUEUE, spec(step))
-        await wait_until(lambda: count(hall.journal, "start") == 4)
-        victim = hall.journal[0].worker
-        _drain(hall.workers[victim])
+        await wait_until(lambda: count(worker_pool.journal, "start") == 4)
+        victim = worker_pool.journal[0].worker
+        _drain(worker_pool.workers[victim])
         drained_at = trio.current_time()
-        moved = sum(e.worker == victim for e in hall.journal)
-        await wait_until(lambda: count(hall.journal, "start") == 4 + moved)
+        moved = sum(e.worker == victim for e in worker_pool.journal)
+        await wait_until(
+            lambda: count(worker_pool.journal, "start") == 4 + moved
+        )
         assert trio.current_time() - drained_at < 2.0
-        later = [e for e in hall.journal if e.at > drained_at + 0.6]
+        later = [e for e in worker_pool.journal if e.at > drained_at + 0.6]
         assert all(e.worker != victim for e in later if e.what == "start")
 
 
--- a/tests/test_pass_share.py
+++ b/tests/test_pass_share.py
@@ -23,8 +23,8 @@
     QUEUE,
     chain,
     count,
-    make_hall,
     make_owner,
+    make_worker_pool,
     running,
     wait_until,
 )
@@ -49,9 +49,9 @@
 class _Cell:
     """An owner under test, its workers, and the seconds spent on placing."""
 
-    def __init__(self, owner: Owner, hall: WorkerPool) -> None:
+    def __init__(self, owner: Owner, worker_pool: WorkerPool) -> None:
         self.owner = owner
-        self.hall = hall
+        self.worker_pool = worker_pool
         self.placing_seconds = 0.0
 
 
@@ -84,7 +84,7 @@
                 await cell.owner.job_api.submit(
                     f"u{number}", QUEUE, chain(1, 1)
                 )
-                with _more_starts(cell.hall) as has_started:
+                with _more_starts(cell.worker_pool) as has_started:
                     await wait_until(has_started)
                 took = trio.current_time() - began
                 assert took < 2 * _MAX_LATENESS, (number, took)
@@ -100,7 +100,10 @@
             )
             # With half of the thread, a round over all waiting steps takes
             # 2.4 s. It takes two rounds if the job arrived just after its turn.
-            with trio.fail_after(6.0), _more_starts(cell.hall) as has_started:
+            with (
+                trio.fail_after(6.0),
+                _more_starts(cell.worker_pool) as has_started,
+            ):
                 await wait_until(has_started)
 
     run_on_slow_vm(1.0, play)
@@ -109,8 +112,8 @@
 @asynccontextmanager
 async def _busy_cell(clock: ChargingClock) -> AsyncIterator[_Cell]:
     """Runs an owner with more waiting steps than it can try in a second."""
-    hall = make_hall()
-    cell = _Cell(make_owner(StoreStandin(), hall, 1), hall)
+    worker_pool = make_worker_pool()
+    cell = _Cell(make_owner(StoreStandin(), worker_pool, 1), worker_pool)
     with _placing_charged(clock, cell):
         async with running(cell.owner) as owner:
             for number in range(_WAITING):
@@ -143,9 +146,9 @@
 
 
 @contextmanager
-def _more_starts(hall: WorkerPool) -> Iterator[Callable[[], bool]]:
-    before = count(hall.journal, "start")
-    yield lambda: count(hall.journal, "start") > before
+def _more_starts(worker_pool: WorkerPool) -> Iterator[Callable[[], bool]]:
+    before = count(worker_pool.journal, "start")
+    yield lambda: count(worker_pool.journal, "start") > before
 
 
 async def _measure_max_lateness() -> float:
--- a/tests/test_reclaim.py
+++ b/tests/test_reclaim.py
@@ -25,8 +25,8 @@
     count,
     life,
     longest_interruption,
-    make_hall,
     make_owner,
+    make_worker_pool,
     running,
     spec,
 )
@@ -96,10 +96,10 @@
     return TaskPlan(RUNS_FOREVER, _LASTING)
 
 
-async def _run_short(hall: WorkerPool, in_time: list[bool]) -> None:
+async def _run_short(worker_pool: WorkerPool, in_time: list[bool]) -> None:
     """Fills all workers with long-running tasks, then submits short jobs."""
     with mock.patch.object(wall, "now", trio.current_time):
-        async with running(make_owner(StoreStandin(), hall, 1)) as owner:
+        async with running(make_owner(StoreStandin(), worker_pool, 1)) as owner:
             watch = StepSpec(32, _LASTING, lasting=True, away_most=2)
             await owner.job_api.submit("watch", QUEUE, spec(watch))
             await trio.sleep(8)
@@ -113,27 +113,27 @@
                 state = owner.job_api.state(job).state
                 in_time.append(state is JobState.COMPLETED)
             await trio.sleep(6)
-    assert count(hall.journal, "lapsed") == 0
+    assert count(worker_pool.journal, "lapsed") == 0
 
 
 def _count_short_in_time() -> tuple[int, WorkerPool]:
     # Eight workers of 8 cores, 7.6 of them reserved on each.
-    hall = make_hall(8, _plan)
+    worker_pool = make_worker_pool(8, _plan)
     in_time: list[bool] = []
-    run_virtual(lambda: _run_short(hall, in_time))
-    return sum(in_time), hall
+    run_virtual(lambda: _run_short(worker_pool, in_time))
+    return sum(in_time), worker_pool
 
 
 def test_lasting_tasks_give_way_to_short_work_and_come_back() -> None:
-    served, hall = _count_short_in_time()
+    served, worker_pool = _count_short_in_time()
     assert served >= 17, served
     at_work = {
         (event.task, event.run)
-        for event in hall.journal
+        for event in worker_pool.journal
         if event.task.job == "watch" and event.what == "start"
     } - {
         (event.task, event.run)
-        for event in hall.journal
+        for event in worker_pool.journal
         if event.what == "stopped"
     }
     assert len(at_work) == 32
@@ -142,10 +142,10 @@
     assert before == 0
 
 
-async def _run_pressure(hall: WorkerPool) -> None:
+async def _run_pressure(worker_pool: WorkerPool) -> None:
     """Keeps more short tasks waiting than there is room for."""
     with mock.patch.object(wall, "now", trio.current_time):
-        async with running(make_owner(StoreStandin(), hall, 1)) as owner:
+        async with running(make_owner(StoreStandin(), worker_pool, 1)) as owner:
             watch = StepSpec(16, _LASTING, lasting=True)
             for name in ("watch-a", "watch-b"):
                 await owner.job_api.submit(name, QUEUE, spec(watch))
@@ -159,19 +159,19 @@
 def test_no_lasting_task_stays_away_however_much_short_work_waits() -> None:
     # On a simulated day one task was down for 20 s: tasks of its step were
     # evicted in turn, and each time the whole step's wait started again.
-    hall = make_hall(8, _plan)
-    run_virtual(lambda: _run_pressure(hall))
-    assert any(e.what == "stopped" for e in hall.journal)
-    assert longest_interruption(hall.journal) < 4.0, longest_interruption(
-        hall.journal
+    worker_pool = make_worker_pool(8, _plan)
+    run_virtual(lambda: _run_pressure(worker_pool))
+    assert any(e.what == "stopped" for e in worker_pool.journal)
+    assert longest_interruption(worker_pool.journal) < 4.0, (
+        longest_interruption(worker_pool.journal)
     )
 
 
-async def _run_best_effort(hall: WorkerPool) -> None:
+async def _run_best_effort(worker_pool: WorkerPool) -> None:
     """Submits more short steps than a pass considers, then best-effort ones."""
     config = CONFIG._replace(queues=(QUEUE, _BATCH))
     with mock.patch.object(wall, "now", trio.current_time):
-        owner = make_owner(StoreStandin(), hall, 1, config=config)
+        owner = make_owner(StoreStandin(), worker_pool, 1, config=config)
         async with running(owner):
             watch = StepSpec(4, _LASTING, lasting=True, away_most=0)
             await owner.job_api.submit("watch", QUEUE, spec(watch))
@@ -189,13 +189,13 @@
 def test_fillers_are_started_beside_any_number_of_steps_without_room() -> None:
     # On a simulated day 600 best-effort tasks waited while 690 cores were
     # idle.
-    hall = make_hall(1, _plan)
-    run_virtual(lambda: _run_best_effort(hall))
-    done = [e.task.job for e in hall.journal if e.what == "done"]
+    worker_pool = make_worker_pool(1, _plan)
+    run_virtual(lambda: _run_best_effort(worker_pool))
+    done = [e.task.job for e in worker_pool.journal if e.what == "done"]
     assert done.count("fill") == 3
 
 
-async def _run_excluded(hall: WorkerPool) -> None:
+async def _run_excluded(worker_pool: WorkerPool) -> None:
     """Submits many steps of an excluded image, then one of another image."""
     store = StoreStandin()
     learned = LearnedEstimates()
@@ -205,7 +205,9 @@
     await store.client("a").append("jobs", [record], 1.0)
     config = CONFIG._replace(queues=(QUEUE, _BATCH))
     with mock.patch.object(wall, "now", trio.current_time):
-        async with running(make_owner(store, hall, 1, config=config)) as owner:
+        async with running(
+            make_owner(store, worker_pool, 1, config=config)
+        ) as owner:
             watch = StepSpec(
                 2,
                 _LASTING,
@@ -233,9 +235,9 @@
 def test_an_image_that_is_shut_out_holds_up_no_other() -> None:
     # On a simulated day 380 tasks of three excluded images waited, and each
     # pass stopped before it came to the tasks that had room.
-    hall = make_hall(1, _plan)
-    run_virtual(lambda: _run_excluded(hall))
-    done = [e.task.job for e in hall.journal if e.what == "done"]
+    worker_pool = make_worker_pool(1, _plan)
+    run_virtual(lambda: _run_excluded(worker_pool))
+    done = [e.task.job for e in worker_pool.journal if e.what == "done"]
     assert done.count("fill") == 3
     assert set(done) == {"fill"}
 
@@ -263,10 +265,10 @@
     assert task_limit(270) > 100
 
 
-async def _run_overload(hall: WorkerPool, in_time: list[bool]) -> None:
+async def _run_overload(worker_pool: WorkerPool, in_time: list[bool]) -> None:
     """Submits long-running tasks for twice the room, then short jobs."""
     with mock.patch.object(wall, "now", trio.current_time):
-        async with running(make_owner(StoreStandin(), hall, 1)) as owner:
+        async with running(make_owner(StoreStandin(), worker_pool, 1)) as owner:
             watch = StepSpec(8, _LASTING, lasting=True)
             for number in range(32):
                 await owner.job_api.submit(f"watch{number}", QUEUE, spec(watch))
@@ -293,24 +295,24 @@
     #
     #     "load" capacity 4744 serving 4594 committed 4596 waiting 1019
     #     first start of short work p95 20 s, a third of it came to nothing
-    hall = make_hall(32, _plan)
+    worker_pool = make_worker_pool(32, _plan)
     in_time: list[bool] = []
-    run_virtual(lambda: _run_overload(hall, in_time))
+    run_virtual(lambda: _run_overload(worker_pool, in_time))
     assert len(in_time) == 40
     assert sum(in_time) >= 32, sum(in_time)
-    assert count(hall.journal, "lapsed") == 0
+    assert count(worker_pool.journal, "lapsed") == 0
 
 
-async def _run_take_over(hall: WorkerPool, in_time: list[bool]) -> None:
+async def _run_take_over(worker_pool: WorkerPool, in_time: list[bool]) -> None:
     """Fills all workers, then submits short jobs to the next owner."""
     store = StoreStandin()
     with mock.patch.object(wall, "now", trio.current_time):
-        async with running(make_owner(store, hall, 1)) as owner:
+        async with running(make_owner(store, worker_pool, 1)) as owner:
             watch = StepSpec(8, _LASTING, lasting=True)
             for number in range(4):
                 await owner.job_api.submit(f"watch{number}", QUEUE, spec(watch))
             await trio.sleep(8)
-        async with running(make_owner(store, hall, 2)) as successor:
+        async with running(make_owner(store, worker_pool, 2)) as successor:
             await successor.settled.wait()
             short = spec(StepSpec(1, _SHORT, 0.5))
             async with trio.open_nursery() as nursery:
@@ -325,9 +327,9 @@
     # objective.
     #
     #     36.1 s owner_ready   38.1 s gives_way (47)
-    hall = make_hall(8, _plan)
+    worker_pool = make_worker_pool(8, _plan)
     in_time: list[bool] = []
-    run_virtual(lambda: _run_take_over(hall, in_time))
+    run_virtual(lambda: _run_take_over(worker_pool, in_time))
     assert in_time == [True, True, True]
 
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -14,8 +14,8 @@
     SMALL,
     count,
     find_overlapping_starts,
-    make_hall,
     make_owner,
+    make_worker_pool,
     running,
     spec,
     wait_until,
@@ -48,9 +48,9 @@
 async def test_no_start_is_repeated_before_that_is_recorded() -> None:
     # Otherwise the next owner treats the start as settled, and a late start
     # runs the task twice.
-    store, hall = StoreStandin(), make_hall(1, _plan)
-    (worker,) = hall.workers.values()
-    async with running(make_owner(store, hall, 1)) as owner:
+    store, worker_pool = StoreStandin(), make_worker_pool(1, _plan)
+    (worker,) = worker_pool.workers.values()
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await trio.sleep(0.5)
         worker.faults.late = 1.0
         await owner.job_api.submit("watch", QUEUE, _WATCH_JOB)
@@ -58,12 +58,12 @@
         worker.faults.late = 0.0
         store.faults.away = True
         await trio.sleep(1.5)
-        before = count(hall.journal, "start")
+        before = count(worker_pool.journal, "start")
         store.faults.away = False
-        await wait_until(lambda: count(hall.journal, "start") == 1)
+        await wait_until(lambda: count(worker_pool.journal, "start") == 1)
         page = await store.client("a").newest("jobs", 1.0)
     assert not before
     (value,) = [r.value for r in page.records if r.key == records.RESENT_STARTS]
     assert value is not None
     assert [run for _, run in records.decode_resent_starts(value).runs] == [1]
-    assert not find_overlapping_starts(hall.journal)
+    assert not find_overlapping_starts(worker_pool.journal)
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -21,8 +21,8 @@
     QUEUE,
     SMALL,
     chain,
-    make_hall,
     make_owner,
+    make_worker_pool,
     running,
 )
 
@@ -54,14 +54,14 @@
         in_time_counts: The count is appended to this list.
     """
     store = StoreStandin()
-    hall = make_hall(4, plan=lambda _: TaskPlan(1.0, SMALL))
+    worker_pool = make_worker_pool(4, plan=lambda _: TaskPlan(1.0, SMALL))
     accepted: dict[str, float] = {}
     done: dict[str, float] = {}
     with (
         mock.patch.object(wall, "now", trio.current_time),
         mock.patch.object(dispatcher, "urgency", ranking),
     ):
-        async with running(make_owner(store, hall, 1)) as owner:
+        async with running(make_owner(store, worker_pool, 1)) as owner:
             for number in range(int(_SECONDS * _JOBS_PER_SECOND)):
                 job = f"j{number}"
                 reply = await owner.job_api.submit(job, QUEUE, chain(6, 2))
