--- a/tests/test_restarted_workers.py
+++ b/tests/test_restarted_workers.py
@@ -27,8 +27,8 @@
     crashed_twice_under,
     find_overlapping_starts,
     find_starts_after_success,
-    make_hall,
     make_owner,
+    make_worker_pool,
     running,
     spec,
     wait_until,
@@ -45,9 +45,11 @@
 async def _run_cell(
     store: StoreStandin | None = None,
 ) -> AsyncIterator[tuple[Owner, WorkerPool]]:
-    hall = make_hall(_WORKERS, _plan)
-    async with running(make_owner(store or StoreStandin(), hall, 1)) as owner:
-        yield owner, hall
+    worker_pool = make_worker_pool(_WORKERS, _plan)
+    async with running(
+        make_owner(store or StoreStandin(), worker_pool, 1)
+    ) as owner:
+        yield owner, worker_pool
 
 
 async def _submit_stream(owner: Owner, first: int, count: int) -> list[str]:
@@ -68,77 +70,77 @@
     )
 
 
-def _check_journal(hall: WorkerPool) -> None:
-    assert not find_overlapping_starts(hall.journal), find_overlapping_starts(
-        hall.journal
-    )[:3]
-    assert not find_starts_after_success(hall.journal), (
-        find_starts_after_success(hall.journal)[:3]
+def _check_journal(worker_pool: WorkerPool) -> None:
+    assert not find_overlapping_starts(worker_pool.journal), (
+        find_overlapping_starts(worker_pool.journal)[:3]
+    )
+    assert not find_starts_after_success(worker_pool.journal), (
+        find_starts_after_success(worker_pool.journal)[:3]
     )
 
 
 async def test_ends_of_a_restarted_worker_are_not_dropped() -> None:
-    async with _run_cell() as (owner, hall):
+    async with _run_cell() as (owner, worker_pool):
         jobs = await _submit_stream(owner, 0, 40)
-        for worker in hall.workers.values():
+        for worker in worker_pool.workers.values():
             worker.restart()
         jobs += await _submit_stream(owner, 40, 40)
         await trio.sleep(10)
-        _check_journal(hall)
+        _check_journal(worker_pool)
         await _wait_done(owner, jobs, 1)
 
 
 async def test_what_lasts_is_back_soon_after_its_worker_restarted() -> None:
-    async with _run_cell() as (owner, hall):
+    async with _run_cell() as (owner, worker_pool):
         await _submit_stream(owner, 0, 20)
         step = StepSpec(12, SMALL, lasting=True)
         await owner.job_api.submit("last", QUEUE, spec(step))
         await trio.sleep(5)
-        worker = next(iter(hall.workers.values()))
-        started = count(hall.journal, "start")
+        worker = next(iter(worker_pool.workers.values()))
+        started = count(worker_pool.journal, "start")
         lost = len(worker.listing().running)
         worker.restart()
         await wait_until(
-            lambda: count(hall.journal, "start") == started + lost, 2.0
+            lambda: count(worker_pool.journal, "start") == started + lost, 2.0
         )
         await trio.sleep(10)
-        assert count(hall.journal, "lapsed") == 0
-        assert count(hall.journal, "start") == started + lost
-        _check_journal(hall)
+        assert count(worker_pool.journal, "lapsed") == 0
+        assert count(worker_pool.journal, "start") == started + lost
+        _check_journal(worker_pool)
 
 
 async def test_a_restart_is_known_before_the_directory_tells() -> None:
-    async with _run_cell() as (owner, hall):
+    async with _run_cell() as (owner, worker_pool):
         jobs = await _submit_stream(owner, 0, 20)
-        for life_id, worker in hall.workers.items():
-            hall.stale_entries[life_id] = worker.life
+        for life_id, worker in worker_pool.workers.items():
+            worker_pool.stale_entries[life_id] = worker.life
             worker.restart()
         jobs += await _submit_stream(owner, 20, 20)
         await _wait_done(owner, jobs, 5)
-        hall.stale_entries.clear()
+        worker_pool.stale_entries.clear()
         jobs += await _submit_stream(owner, 40, 20)
         await _wait_done(owner, jobs, 5)
-        _check_journal(hall)
+        _check_journal(worker_pool)
 
 
 async def test_a_new_owner_meets_the_next_lives_of_its_workers() -> None:
     store = StoreStandin()
-    hall = make_hall(_WORKERS, _plan)
+    worker_pool = make_worker_pool(_WORKERS, _plan)
     jobs: list[str] = []
     for epoch in range(1, 6):
-        async with running(make_owner(store, hall, epoch)) as owner:
+        async with running(make_owner(store, worker_pool, epoch)) as owner:
             jobs += await _submit_stream(owner, 20 * epoch, 20)
-        for worker in hall.workers.values():
+        for worker in worker_pool.workers.values():
             worker.restart()
-    async with running(make_owner(store, hall, 9)) as owner:
+    async with running(make_owner(store, worker_pool, 9)) as owner:
         await _wait_done(owner, jobs, 15)
-    _check_journal(hall)
+    _check_journal(worker_pool)
 
 
-async def _restart_often(hall: WorkerPool, rng: random.Random) -> None:
+async def _restart_often(worker_pool: WorkerPool, rng: random.Random) -> None:
     while True:
         await trio.sleep(rng.uniform(0.05, 1.0))
-        worker = rng.choice(list(hall.workers.values()))
+        worker = rng.choice(list(worker_pool.workers.values()))
         if rng.random() < 0.5:
             worker.restart()
             continue
@@ -151,14 +153,14 @@
 async def _run_restarts(seed: int) -> None:
     """Restarts workers in series, with lost orders and late ones."""
     rng = random.Random(seed)
-    async with _run_cell() as (owner, hall):
-        for worker in hall.workers.values():
+    async with _run_cell() as (owner, worker_pool):
+        for worker in worker_pool.workers.values():
             worker.faults.late = worker.faults.lost = 0.05
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_restart_often, hall, rng)
+            nursery.start_soon(_restart_often, worker_pool, rng)
             jobs = await _submit_stream(owner, 0, 100)
             nursery.cancel_scope.cancel()
-        for worker in hall.workers.values():
+        for worker in worker_pool.workers.values():
             worker.faults.late = worker.faults.lost = 0.0
             if worker.dead:
                 worker.restart()
@@ -167,14 +169,14 @@
                 owner.job_api.state(job).state in TERMINAL for job in jobs
             )
         )
-        _check_journal(hall)
+        _check_journal(worker_pool)
         # Users accept that a task is given up once two workers have crashed
         # under it.
         lost = [
             job
             for job in jobs
             if owner.job_api.state(job).state is not JobState.COMPLETED
-            and not crashed_twice_under(hall.journal, job)
+            and not crashed_twice_under(worker_pool.journal, job)
         ]
         assert not lost, (seed, lost)
 
@@ -186,8 +188,8 @@
 
 def test_a_restarted_worker_knows_nothing_of_its_former_life() -> None:
     async def play() -> None:
-        hall = make_hall(1, _plan)
-        worker: TaskWorkerStandin = next(iter(hall.workers.values()))
+        worker_pool = make_worker_pool(1, _plan)
+        worker: TaskWorkerStandin = next(iter(worker_pool.workers.values()))
         born = worker.life.born
         worker.handle_hold(7, 0, None)
         worker.restart()
@@ -202,19 +204,19 @@
 async def test_ends_of_a_life_that_nobody_has_met_are_not_forgotten() -> None:
     # The answer to a listing is lost and the worker restarts meanwhile. The
     # next listing request is the first one that the new life receives.
-    hall = make_hall(1, lambda _: TaskPlan(0.1, SMALL))
-    worker = next(iter(hall.workers.values()))
-    async with running(make_owner(StoreStandin(), hall, 1)) as owner:
+    worker_pool = make_worker_pool(1, lambda _: TaskPlan(0.1, SMALL))
+    worker = next(iter(worker_pool.workers.values()))
+    async with running(make_owner(StoreStandin(), worker_pool, 1)) as owner:
         await owner.job_api.submit("job0", QUEUE, chain(8, 8))
         await _wait_done(owner, ["job0"], 10)
         worker.faults.lost = 1.0
         await trio.sleep(1.1)
         worker.faults.lost = 0.0
-        hall.stale_entries[worker.life.id] = worker.life
+        worker_pool.stale_entries[worker.life.id] = worker.life
         worker.restart()
         await owner.job_api.submit("job1", QUEUE, chain(8, 1))
         await _wait_done(owner, ["job1"], 5)
-    _check_journal(hall)
+    _check_journal(worker_pool)
 
 
 def test_a_late_start_on_a_life_that_nobody_has_met_runs_nothing_twice() -> (
--- a/tests/test_review_of_mends.py
+++ b/tests/test_review_of_mends.py
@@ -88,7 +88,7 @@
                 await cell.owner.job_api.submit(
                     f"u{number}", QUEUE, chain(1, 1)
                 )
-                with _more_starts(cell.hall) as has_started:
+                with _more_starts(cell.worker_pool) as has_started:
                     await wait_until(has_started)
                 took = trio.current_time() - began
                 if took >= _STARTED_WITHIN:
--- a/tests/test_starts_held.py
+++ b/tests/test_starts_held.py
@@ -21,8 +21,8 @@
     find_starts_after_success,
     life,
     longest_interruption,
-    make_hall,
     make_owner,
+    make_worker_pool,
     running,
     spec,
     wait_until,
@@ -50,31 +50,31 @@
 async def test_nothing_gives_way_whose_start_may_come_late() -> None:
     # Guards against a lost job: the task was stopped under the next owner and
     # then held for 11 s.
-    hall = make_hall(8, _plan)
+    worker_pool = make_worker_pool(8, _plan)
     with mock.patch.object(wall, "now", trio.current_time):
-        await _simulate_unanswered(hall)
-    assert count(hall.journal, "done")
-    assert longest_interruption(hall.journal) < _DOWN_MOST, (
-        longest_interruption(hall.journal)
+        await _simulate_unanswered(worker_pool)
+    assert count(worker_pool.journal, "done")
+    assert longest_interruption(worker_pool.journal) < _DOWN_MOST, (
+        longest_interruption(worker_pool.journal)
     )
-    assert not find_overlapping_starts(hall.journal)
-    assert not find_starts_after_success(hall.journal)
+    assert not find_overlapping_starts(worker_pool.journal)
+    assert not find_starts_after_success(worker_pool.journal)
 
 
-async def _simulate_unanswered(hall: WorkerPool) -> None:
+async def _simulate_unanswered(worker_pool: WorkerPool) -> None:
     """Has one owner's starts go unanswered and puts load on its successor."""
     store = StoreStandin()
     watch = spec(StepSpec(8, _LASTING_SIZE, lasting=True))
-    async with running(make_owner(store, hall, 1)) as owner:
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await trio.sleep(0.5)
-        for worker in hall.workers.values():
+        for worker in worker_pool.workers.values():
             worker.faults.lost = 1.0
         for number in range(4):
             await owner.job_api.submit(f"watch{number}", QUEUE, watch)
-        await wait_until(lambda: count(hall.journal, "start") == 32)
-    for worker in hall.workers.values():
+        await wait_until(lambda: count(worker_pool.journal, "start") == 32)
+    for worker in worker_pool.workers.values():
         worker.faults.lost = 0.0
-    async with running(make_owner(store, hall, 2)) as successor:
+    async with running(make_owner(store, worker_pool, 2)) as successor:
         await successor.settled.wait()
         short = spec(StepSpec(1, _SHORT_SIZE, 0.5))
         for number in range(30):
@@ -122,29 +122,29 @@
 
 
 async def _simulate_pending() -> None:
-    store, hall = StoreStandin(), make_hall(2, _plan)
+    store, worker_pool = StoreStandin(), make_worker_pool(2, _plan)
     job = spec(StepSpec(1, _SHORT_SIZE, 0.5))
-    async with running(make_owner(store, hall, 1)) as owner:
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await trio.sleep(0.5)
-        for worker in hall.workers.values():
+        for worker in worker_pool.workers.values():
             worker.faults.late = 1.0
         await owner.job_api.submit("short", QUEUE, job)
         await trio.sleep(2.0)
         assert owner.job_api.pending(QUEUE.name) == 1
-    for worker in hall.workers.values():
+    for worker in worker_pool.workers.values():
         worker.restart()
         worker.faults.late = 0.0
-    async with running(make_owner(store, hall, 2)) as successor:
+    async with running(make_owner(store, worker_pool, 2)) as successor:
         await successor.settled.wait()
         await trio.sleep(2.0)
-        assert not count(hall.journal, "start")
+        assert not count(worker_pool.journal, "start")
         assert successor.job_api.pending(QUEUE.name) == 1
         await successor.job_api.submit("watch", QUEUE, _WATCH_JOB)
-        await wait_until(lambda: count(hall.journal, "start") == 1)
+        await wait_until(lambda: count(worker_pool.journal, "start") == 1)
         assert successor.job_api.pending(QUEUE.name) == 1
-        await wait_until(lambda: count(hall.journal, "start") == 2)
+        await wait_until(lambda: count(worker_pool.journal, "start") == 2)
         await wait_until(lambda: successor.job_api.pending(QUEUE.name) == 0)
-    async with running(make_owner(store, hall, 3)) as third:
+    async with running(make_owner(store, worker_pool, 3)) as third:
         assert third.job_api.pending(QUEUE.name) == 0
 
 
@@ -153,17 +153,19 @@
 ):
     # Guards against a lost job: a new owner treated every start of a lasting
     # task as sent twice, and the end of its run settled only one of the two.
-    store, hall = StoreStandin(), make_hall(2, _plan)
-    async with running(make_owner(store, hall, 1)) as owner:
+    store, worker_pool = StoreStandin(), make_worker_pool(2, _plan)
+    async with running(make_owner(store, worker_pool, 1)) as owner:
         await trio.sleep(0.5)
-        for worker in hall.workers.values():
+        for worker in worker_pool.workers.values():
             worker.faults.lost = 1.0
         await owner.job_api.submit("watch", QUEUE, _WATCH_JOB)
-        await wait_until(lambda: count(hall.journal, "start") == 1)
-    for worker in hall.workers.values():
+        await wait_until(lambda: count(worker_pool.journal, "start") == 1)
+    for worker in worker_pool.workers.values():
         worker.faults.lost = 0.0
     # There is no owner until the lease of the run has lapsed.
     await trio.sleep(const.LEASE)
-    async with running(make_owner(store, hall, 2)):
-        await wait_until(lambda: count(hall.journal, "start") == 2, _DOWN_MOST)
-    assert not find_overlapping_starts(hall.journal)
+    async with running(make_owner(store, worker_pool, 2)):
+        await wait_until(
+            lambda: count(worker_pool.journal, "start") == 2, _DOWN_MOST
+        )
+    assert not find_overlapping_starts(worker_pool.journal)
--- a/tests/test_takeover_cost.py
+++ b/tests/test_takeover_cost.py
@@ -24,7 +24,7 @@
 from tests.slow_vm import (
     ChargedLink,
     ChargingClock,
-    make_large_hall,
+    make_large_worker_pool,
     plan_of,
     run_on_slow_vm,
 )
@@ -56,10 +56,10 @@
 def _make(clock: ChargingClock, ended_jobs: int) -> tuple[StoreStandin, Owner]:
     store = StoreStandin()
     with clock.uncharged():
-        hall = make_large_hall(clock, _WORKERS, plan_of)
+        worker_pool = make_large_worker_pool(clock, _WORKERS, plan_of)
         kept = [record for n in range(ended_jobs) for record in _ended_job(n)]
         store.append_now("jobs", kept, None, None)
-    access = hall.access("a")
+    access = worker_pool.access("a")
     platform = CellPlatform(store.client("a"), access, access)
     owner = Owner(Claim("jobs", 1, True), platform, lambda: CONFIG)
     return store, owner
