--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -19,7 +19,7 @@
 
 
 def _print_capacity() -> int:
-    """Prints the slopes and what they come to at the target size."""
+    """Prints the fitted slopes and the costs at the target size."""
     slopes = capacity.measure_slopes()
     capacity.print_slopes(slopes)
     print()
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,7 +1,7 @@
-"""Slopes of what each role costs, and what they come to at the target size.
+"""Measures how the cost of each role grows with its size.
 
-Prints two tables: the slopes, each fitted over three sizes or more, and the
-lines that `docs/CAPACITY.md` quotes, worked out from them.
+Each slope is fitted over at least three sizes. `bench.target` computes from the
+slopes the costs at the target size, which `docs/CAPACITY.md` quotes.
 """
 
 from collections.abc import Callable
@@ -52,8 +52,8 @@
 from pimentocross.zones.placer import WorkerView
 from pimentocross.zones.views import Target
 
-# Headers and first lines of one HTTP exchange with a worker, as counted on
-# the real link: 13 headers of request and reply.
+# Bytes of the start lines and the 13 headers of an HTTP request to a worker and
+# its reply, counted on a real connection.
 _HTTP_HEAD = 330
 _FRAME_HEAD = 4
 _ATTEMPT = Attempt(12_345, 678)
@@ -62,15 +62,15 @@
 
 
 class Slope(NamedTuple):
-    """A cost that grows with a size: value = fixed + each * size.
+    """A cost that grows linearly: value = fixed + each * size.
 
     Attributes:
-        name: What is measured.
-        unit: Of the value.
-        each: Growth for one more.
+        name: The measured cost and the size on which it depends.
+        unit: Unit of the value.
+        each: Increase of the value per unit of size.
         fixed: Value at size 0.
-        error: Largest distance from the line, as a share of the value.
-        points: Sizes and values.
+        error: Largest relative error of the fit.
+        points: Measured (size, value) pairs.
     """
 
     name: str
@@ -81,12 +81,12 @@
     points: list[tuple[int, float]]
 
     def at(self, size: float) -> float:
-        """Returns the value on the line."""
+        """Returns the fitted value at a size."""
         return self.fixed + self.each * size
 
 
 def fit(name: str, unit: str, points: list[tuple[int, float]]) -> Slope:
-    """Fits a line by least squares."""
+    """Fits a line to (size, value) pairs by least squares."""
     sizes = [float(size) for size, _ in points]
     values = [value for _, value in points]
     line = statistics.linear_regression(sizes, values)
@@ -98,22 +98,22 @@
 
 
 def frame_bytes(array: list[object]) -> int:
-    """Returns how long a frame between entry VMs is."""
+    """Returns the bytes of a frame between entry VMs."""
     return len(msgpack.packb(array)) + _FRAME_HEAD
 
 
 def heartbeat_bytes(in_flight: int) -> int:
     """Returns the bytes of one heartbeat and its reply."""
     busy = [(f"10.1.{n % 250}.7:31000", 3) for n in range(in_flight)]
-    ask = Heartbeat(81_234, busy, [("zone-a-0", 712, 31, 208)], False)
+    heartbeat = Heartbeat(81_234, busy, [("zone-a-0", 712, 31, 208)], False)
     reply = HeartbeatReply(10_321, 2.125, [], 81_234)
-    asked = [100_000, *PEER_MESSAGES.pack(ask)]
-    answered = [100_000, *PEER_MESSAGES.pack(reply)]
-    return frame_bytes(asked) + frame_bytes(answered)
+    request_frame = [100_000, *PEER_MESSAGES.pack(heartbeat)]
+    reply_frame = [100_000, *PEER_MESSAGES.pack(reply)]
+    return frame_bytes(request_frame) + frame_bytes(reply_frame)
 
 
 def push_bytes(targets: int) -> int:
-    """Returns the bytes that tell a peer so many targets."""
+    """Returns the bytes of a message that sends targets to a peer."""
     target = Target("stock", "zone-a-w17", "10.1.2.3:31000", 4, 64, "zone-a")
     push = PushTargets("zone-a-0", 712, 5, [target] * targets)
     return frame_bytes([1, *PEER_MESSAGES.pack(push)])
@@ -133,7 +133,7 @@
 
 
 def exchange_bytes(starts: int, running: int) -> int:
-    """Returns the bytes of an exchange that starts tasks and hears usage."""
+    """Returns the bytes of an exchange with task starts and usage reports."""
     commands = [COMMANDS.pack(Start(_spec(n))) for n in range(starts)]
     request = Exchange(
         "zone-a-0",
@@ -170,7 +170,7 @@
 
 
 def job_records(job: int) -> list[RecordBody]:
-    """Returns the two records of a job of one task."""
+    """Returns the accept and end records of a job with one task."""
     name = f"zone-a-0.{job:020x}"
     accepted = JobAccepted(
         712, name, "planning", "restock-plan", 1, 3, '{"seconds": 5}'
@@ -192,7 +192,7 @@
 
 
 def _seconds(run: Callable[[], object]) -> float:
-    """Returns the least processor time of several runs."""
+    """Returns the minimum processor seconds of several calls."""
     best = float("inf")
     for _ in range(_REPEATS):
         began = time.process_time()
@@ -202,14 +202,14 @@
 
 
 def _memory(build: Callable[[], object]) -> float:
-    """Returns the bytes that what is built holds."""
+    """Returns the bytes of memory that the built object uses."""
     gc.collect()
     tracemalloc.start()
-    kept = build()
+    built = build()
     gc.collect()
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del kept
+    del built
     return float(held)
 
 
@@ -265,11 +265,11 @@
     return _seconds(lambda: load_configuration(files)) * 1000
 
 
-async def _peer_seconds(asks: int) -> float:
-    """Returns processor seconds of so many questions over TCP, both ends."""
+async def _peer_seconds(requests: int) -> float:
+    """Returns processor seconds of requests over TCP, client and server."""
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     port = listeners[0].socket.getsockname()[1]
-    ask = Heartbeat(81_234, [], [], False)
+    heartbeat = Heartbeat(81_234, [], [], False)
     reply = HeartbeatReply(10_321, 2.125, [], 81_234)
 
     async def answer(stream: trio.abc.Stream) -> None:
@@ -282,8 +282,8 @@
         nursery.start_soon(trio.serve_listeners, answer, listeners)
         frames = FrameStream(await trio.open_tcp_stream("127.0.0.1", port))
         began = time.process_time()
-        for number in range(asks):
-            await frames.send([number, *PEER_MESSAGES.pack(ask)])
+        for number in range(requests):
+            await frames.send([number, *PEER_MESSAGES.pack(heartbeat)])
             got = await frames.receive(1000)
             assert got is not None
             PEER_MESSAGES.unpack(got[1:])
@@ -292,40 +292,40 @@
     return took
 
 
-def _pairs(
+def _measure_points(
     sizes: tuple[int, ...], measure: Callable[[int], float]
 ) -> list[tuple[int, float]]:
     return [(size, measure(size)) for size in sizes]
 
 
 def measure_slopes() -> dict[str, Slope]:
-    """Returns all slopes by name."""
+    """Measures and returns all slopes by name."""
     jobs = (500, 1_000, 2_000)
     slopes = [
         fit(
             "heartbeat, by targets in flight",
             "B",
-            _pairs((0, 8, 64), heartbeat_bytes),
+            _measure_points((0, 8, 64), heartbeat_bytes),
         ),
         fit(
             "targets told, by targets",
             "B",
-            _pairs((10, 100, 1_000), push_bytes),
+            _measure_points((10, 100, 1_000), push_bytes),
         ),
         fit(
             "exchange, by tasks started in it",
             "B",
-            _pairs((0, 8, 64), lambda n: exchange_bytes(n, 0)),
+            _measure_points((0, 8, 64), lambda n: exchange_bytes(n, 0)),
         ),
         fit(
             "exchange, by tasks with usage",
             "B",
-            _pairs((0, 8, 32), lambda n: exchange_bytes(0, n)),
+            _measure_points((0, 8, 32), lambda n: exchange_bytes(0, n)),
         ),
         fit(
             "records of a job in the log, by jobs",
             "B",
-            _pairs(
+            _measure_points(
                 (1, 10, 100),
                 lambda n: sum(
                     len(msgspec.json.encode(body))
@@ -337,24 +337,26 @@
         fit(
             "appends for ends at 100/s, by ends",
             "appends",
-            _pairs((200, 400, 800), measure_appends),
+            _measure_points((200, 400, 800), measure_appends),
         ),
         fit(
             "folding a job's records, by jobs",
             "us",
-            _pairs(
+            _measure_points(
                 jobs, lambda n: _seconds(lambda: _fold(n, ended=True)) * 1e6
             ),
         ),
         fit(
             "memory of open jobs, by jobs",
             "B",
-            _pairs(jobs, lambda n: _memory(lambda: _fold(n, ended=False))),
+            _measure_points(
+                jobs, lambda n: _memory(lambda: _fold(n, ended=False))
+            ),
         ),
         fit(
             "snapshot of open jobs, by jobs",
             "B",
-            _pairs(
+            _measure_points(
                 jobs,
                 lambda n: len(
                     msgspec.json.encode(_fold(n, ended=False).dump())
@@ -364,7 +366,7 @@
         fit(
             "making a snapshot, by jobs",
             "us",
-            _pairs(
+            _measure_points(
                 jobs,
                 lambda n: _seconds(_fold(n, ended=False).dump) * 1e6,
             ),
@@ -372,22 +374,22 @@
         fit(
             "memory of commitments, by tasks",
             "B",
-            _pairs(jobs, lambda n: _memory(lambda: _commitments(n))),
+            _measure_points(jobs, lambda n: _memory(lambda: _commitments(n))),
         ),
         fit(
             "a placement decision, by workers",
             "us",
-            _pairs((24, 190, 1_000), _decide),
+            _measure_points((24, 190, 1_000), _decide),
         ),
         fit(
             "checking a configuration, by teams",
             "ms",
-            _pairs((10, 100, 310), _configuration_seconds),
+            _measure_points((10, 100, 310), _configuration_seconds),
         ),
         fit(
             "a question to a peer, both ends, by questions",
             "us",
-            _pairs(
+            _measure_points(
                 (500, 1_000, 2_000), lambda n: trio.run(_peer_seconds, n) * 1e6
             ),
         ),
@@ -396,7 +398,7 @@
 
 
 async def _appends(ends: int) -> float:
-    """Returns the appends for so many ends of tasks, one each 10 ms."""
+    """Returns the number of appends for task ends at one per 10 ms."""
     log = LogStandin()
     fold = StreamFold(log, "cell", CellState())
     async with trio.open_nursery() as nursery:
@@ -411,7 +413,7 @@
 
 
 def measure_appends(ends: int) -> float:
-    """Returns the appends for so many ends, in virtual time."""
+    """Returns the number of appends for task ends, in virtual time."""
     return trio.run(_appends, ends, clock=MockClock(autojump_threshold=0))
 
 
--- a/bench/fakes.py
+++ b/bench/fakes.py
@@ -1,8 +1,9 @@
-"""A fake of workers with hidden interference, for measuring decisions.
+"""Simulates workers with interference, to measure placement decisions.
 
-Time goes in steps of a second. Each class slows each other by a hidden
-amount for each neighbour and load band; usage is reported late and with
-noise. Only the decisions are real: they come from `placement/`.
+Time advances in steps of a second. Each task slows the others on its worker by
+an amount that depends on both classes and the load band, and that placement
+has to learn from late and noisy usage reports. Only the decisions are real:
+they come from `placement/`.
 """
 
 from collections import Counter, deque
@@ -21,7 +22,7 @@
 
 
 class FakeClass(NamedTuple):
-    """A class of tasks: its kind, size, and seconds of work if it is batch."""
+    """A class of tasks; `seconds` is the work of a batch task."""
 
     name: str
     kind: TaskKind
@@ -30,56 +31,70 @@
 
 
 class Matrix:
-    """Hidden slowdown that one neighbour adds, by victim, neighbour, band."""
+    """Slowdown that one neighbour adds, by victim, neighbour and load band."""
 
     def __init__(self, values: dict[str, dict[str, list[float]]]) -> None:
-        """Takes three values, for low, middle and high load, for each pair."""
+        """Initializes the matrix with a value per load band for each pair."""
         self._values = values
 
-    def added(self, victim: str, neighbour: str, band: int) -> float:
-        """Returns what one neighbour adds; 0 for a pair not given."""
+    def added_slowdown(self, victim: str, neighbour: str, band: int) -> float:
+        """Returns the slowdown that one neighbour adds; 0 for unknown pairs."""
         bands = self._values.get(victim, {}).get(neighbour)
         return bands[band] if bands else 0.0
 
     def slowdown(
         self, victim: str, classes: dict[str, int], band: int
     ) -> float:
-        """Returns a task's slowdown beside others, 0 for none."""
+        """Returns the relative slowdown of a task on a worker; 0 is none.
+
+        Args:
+            victim: Class of the task.
+            classes: Tasks on the worker by class, including this task.
+            band: Load band of the worker.
+        """
         total = 0.0
         for name, count in classes.items():
-            besides = count - (name == victim)
-            total += besides * self.added(victim, name, band)
+            neighbour_count = count - (name == victim)
+            total += neighbour_count * self.added_slowdown(victim, name, band)
         return total
 
 
 def read_matrix(path: Path) -> Matrix:
-    """Reads a matrix: victim, neighbour, and a value for each band."""
+    """Reads a YAML matrix: victim, neighbour, and a value per load band.
+
+    Raises:
+        ValueError: If a pair has another number of values.
+    """
     values = yaml.safe_load(path.read_text())
     for neighbours in values.values():
         for bands in neighbours.values():
             if len(bands) != BANDS:
-                raise ValueError(f"{path}: {BANDS} values for each pair")
+                raise ValueError(
+                    f"{path}: expected {BANDS} values for each pair"
+                )
     return Matrix(values)
 
 
 class FakeTask:
-    """One task: where it runs and how much of its work is left."""
+    """A task, its worker and its remaining work."""
 
-    def __init__(self, name: str, of: FakeClass, queued_at: int) -> None:
-        """Starts queued."""
+    def __init__(
+        self, name: str, task_class: FakeClass, queued_at: int
+    ) -> None:
+        """Initializes a queued task; `queued_at` is in simulated seconds."""
         self.name = name
-        self.of = of
+        self.task_class = task_class
         self.queued_at = queued_at
-        self.left = of.seconds
+        self.seconds_left = task_class.seconds
         self.worker: FakeWorker | None = None
         self.avoid: set[str] = set()
 
 
 class FakeWorker:
-    """One worker, as placement sees it."""
+    """A worker with the attributes that placement reads."""
 
     def __init__(self, name: str, rack: int, capacity: Resources) -> None:
-        """Starts empty."""
+        """Initializes a worker without tasks."""
         self.name = name
         self.rack = rack
         self.capacity = capacity
@@ -91,29 +106,29 @@
 
     @property
     def band(self) -> int:
-        """Its load band."""
+        """Returns the load band of the reserved processors."""
         used = self.capacity.processors - self.free.processors
         return load_band(used, self.capacity.processors)
 
     def add(self, task: FakeTask) -> None:
-        """Starts a task here."""
-        self.free = self.free.minus(task.of.size)
+        """Starts a task on this worker."""
+        self.free = self.free.minus(task.task_class.size)
         assert min(self.free) >= -1e-9, "over capacity"
-        name = task.of.name
+        name = task.task_class.name
         self.classes[name] = self.classes.get(name, 0) + 1
         self.tasks[task.name] = task
         task.worker = self
 
     def remove(self, task: FakeTask) -> None:
-        """Ends a task here."""
-        self.free = self.free.plus(task.of.size)
-        self.classes[task.of.name] -= 1
+        """Removes a task from this worker."""
+        self.free = self.free.plus(task.task_class.size)
+        self.classes[task.task_class.name] -= 1
         del self.tasks[task.name]
         task.worker = None
 
 
 class Report(NamedTuple):
-    """A measurement, known only some seconds after it was made."""
+    """A measured slowdown, available from `known_at` on."""
 
     known_at: int
     victim: str
@@ -123,21 +138,21 @@
 
 
 class FakeUsage:
-    """Measures tasks and tells of it late."""
+    """Measures tasks with noise and reports the results late."""
 
-    def __init__(self, matrix: Matrix, draw: random.Random) -> None:
-        """Takes what is hidden."""
+    def __init__(self, matrix: Matrix, rng: random.Random) -> None:
+        """Initializes the measurement with the true slowdowns."""
         self._matrix = matrix
-        self._draw = draw
+        self._rng = rng
         self._pending: deque[Report] = deque()
 
     def measure(self, now: int, workers: list[FakeWorker]) -> None:
-        """Measures one task of each class on each worker."""
+        """Measures a task of each class on each worker."""
         for worker in workers:
             present = {n: c for n, c in worker.classes.items() if c > 0}
             for victim in present:
                 true = self._matrix.slowdown(victim, present, worker.band)
-                noise = self._draw.gauss(0.0, USAGE_NOISE * (1 + true))
+                noise = self._rng.gauss(0.0, USAGE_NOISE * (1 + true))
                 others = Counter(present)
                 others[victim] -= 1
                 self._pending.append(
@@ -150,8 +165,8 @@
                     )
                 )
 
-    def take(self, now: int) -> list[Report]:
-        """Returns what has become known."""
+    def pop_known(self, now: int) -> list[Report]:
+        """Removes and returns the reports that are available by now."""
         taken = []
         while self._pending and self._pending[0].known_at <= now:
             taken.append(self._pending.popleft())
--- a/bench/large_jobs.py
+++ b/bench/large_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs of a large deployment, and the processor time of single tasks."""
+"""Jobs of a large deployment, and an instrument for trio tasks' CPU time."""
 
 from collections import defaultdict
 import time
@@ -20,53 +20,59 @@
     {"stock": ServicePool("stock", True, 64, False)},
     CallerLimits(16384, 262144, 3.0, 15.0),
 )
-SERVING = Size(6_400, 13_000, 0)
-FILLING = Size(3_500, 6_400, 0)
-QUICK = Size(5_700, 11_000, 0)
-# Milliseconds that what serves has to stay under.
-TARGET = 45
+SERVING_SIZE = Size(6_400, 13_000, 0)
+BEST_EFFORT_SIZE = Size(3_500, 6_400, 0)
+QUICK_SIZE = Size(5_700, 11_000, 0)
+# Target latency of serving tasks.
+TARGET_TAIL_MS = 45
 
 
-def lasting_job(number: int) -> JobSpec:
-    """Returns fourteen tasks that last and serve."""
+def serving_job(number: int) -> JobSpec:
+    """Returns a job of fourteen lasting tasks that serve requests."""
     step = StepSpec(
         14,
-        SERVING,
+        SERVING_SIZE,
         lasting=True,
         image=f"serve{number % 10}",
-        target_tail=TARGET,
+        target_tail=TARGET_TAIL_MS,
         away_most=2,
     )
     return JobSpec("", (step,))
 
 
-def filling_job(number: int) -> JobSpec:
-    """Returns two steps of twenty tasks that fill."""
+def best_effort_job(number: int) -> JobSpec:
+    """Returns a job of two steps of twenty best-effort tasks each."""
     step = StepSpec(
-        20, FILLING, 2.7, saves=True, image=f"fill{number % 18}", fills=True
+        20,
+        BEST_EFFORT_SIZE,
+        2.7,
+        saves=True,
+        image=f"fill{number % 18}",
+        fills=True,
     )
     return JobSpec("", (step, step._replace(after=(0,))))
 
 
 def quick_job() -> JobSpec:
-    """Returns a step of ten short tasks."""
-    return JobSpec("", (StepSpec(10, QUICK, 1.0),))
+    """Returns a job of one step of ten short tasks."""
+    return JobSpec("", (StepSpec(10, QUICK_SIZE, 1.0),))
 
 
 class TimeByTask(trio.abc.Instrument):
-    """Adds the thread's time up by the function that a task runs."""
+    """Sums the thread's CPU time by the function that a trio task runs."""
 
     def __init__(self) -> None:
-        """Starts with nothing."""
+        """Initializes the instrument without any time."""
         self.used: defaultdict[str, float] = defaultdict(float)
-        # The step in which it is added has begun before.
+        # The instrument is added in the middle of a task step, for which
+        # `before_task_step` is not called.
         self._began = time.thread_time()
 
     def before_task_step(self, task: trio.lowlevel.Task) -> None:
-        """Notes the time."""
+        """Records when the task step starts."""
         self._began = time.thread_time()
 
     def after_task_step(self, task: trio.lowlevel.Task) -> None:
-        """Adds the step's time."""
+        """Adds the time of the task step."""
         name = task.name.rpartition("pimentocross.owner.")[2]
         self.used[name] += time.thread_time() - self._began
--- a/bench/large_owner.py
+++ b/bench/large_owner.py
@@ -1,9 +1,9 @@
-"""What the owner of a large cell pays for its input and output.
+"""Measures the CPU time that a large cell's owner spends on I/O.
 
-246 workers with 25 runs each, about 400 starts and ends a second, all calls
-over loopback in the platform's wire form to stand-ins in another process. The
-thread's time is told apart by task, and no decisions are made: each task that
-waits goes to the next worker in turn.
+There are 246 workers with 25 runs each and about 400 starts and ends a second.
+All calls go over loopback, in the platform's wire format, to stand-ins in
+another process. The thread's CPU time is split by trio task. Placement is left
+out: waiting tasks are assigned to the workers round-robin.
 """
 
 from collections.abc import Iterator
@@ -18,11 +18,11 @@
     CONFIG,
     QUEUE,
     TimeByTask,
-    filling_job,
-    lasting_job,
+    best_effort_job,
     quick_job,
+    serving_job,
 )
-from bench.wire_parts import make_parts, measure_calls, print_parts
+from bench.wire_parts import make_owner_context, measure_calls, print_call_costs
 from pimentocross.contracts.worker_link import Ending, WorkerLife
 from pimentocross.contracts.zones import AllZonesOpen
 from pimentocross.owner.former_leases import FormerLeases
@@ -40,17 +40,17 @@
 from pimentocross.work.state import Run, Task
 
 _WORKERS: Final = 246
-# Jobs of fourteen tasks that stay: of those that serve, and beside them such
-# that fill and take longer than the measurement.
+# Jobs of fourteen tasks each that run during the whole measurement: serving
+# jobs, and best-effort jobs that take longer than the measurement.
 _SERVING_JOBS: Final = 80
-_STAYING_JOBS: Final = 330
+_LONG_BEST_EFFORT_JOBS: Final = 330
 _SECONDS: Final = 8.0
-# Jobs a second of forty tasks that fill, and of ten short ones.
-_FILLING_RATE: Final = 9.5
-_QUICK_RATE: Final = 5.8
-_PASS: Final = 0.01
-_MS: Final = 1000.0
-_KEPT: Final = 150.0
+# Best-effort jobs have forty tasks, quick jobs ten.
+_BEST_EFFORT_JOBS_PER_SECOND: Final = 9.5
+_QUICK_JOBS_PER_SECOND: Final = 5.8
+_PASS_INTERVAL: Final = 0.01
+_MS_PER_SECOND: Final = 1000.0
+_ENDED_JOB_RETENTION: Final = 150.0
 
 
 class _Directory:
@@ -58,17 +58,17 @@
         self._listed = listed
 
     async def poll(self, timeout: float) -> list[WorkerLife]:
-        """Returns all."""
+        """Returns all workers."""
         await trio.lowlevel.checkpoint()
         return self._listed
 
 
-class _Cell:
-    """An owner's parts, without those that decide."""
+class _OwnerWithoutPlacement:
+    """The parts of an owner that do I/O, without placement."""
 
     def __init__(self, store: StoreClient, addresses: str) -> None:
         self.ledger = Ledger(store, "jobs", "owner", 1)
-        self.book = JobRegistry(self.ledger, _KEPT)
+        self.book = JobRegistry(self.ledger, _ENDED_JOB_RETENTION)
         self.learned = LearnedEstimates()
         former_leases = FormerLeases(
             1, (), OwnerTerms(), self.ledger, quiet=True
@@ -82,29 +82,29 @@
             lambda: CONFIG,
             AllZonesOpen(),
         )
-        self.holds = 0
-        self.entries = 0
+        self.listings = 0
+        self.listed_runs = 0
         self.ended = 0
-        self.parts = make_parts(
-            self.book, self.ledger, self._judge, self._on_listed
+        self.parts = make_owner_context(
+            self.book, self.ledger, self._on_ending, self._on_listed
         )
 
-    def _judge(
+    def _on_ending(
         self, worker: Worker, task: Task, run: Run | None, ending: Ending
     ) -> None:
         self.ended += 1
         self.learned.on_ending(worker, task, run, ending)
 
     def _on_listed(self, worker: Worker) -> None:
-        self.holds += 1
-        self.entries += len(worker.runs)
+        self.listings += 1
+        self.listed_runs += len(worker.runs)
         self.learned.on_listed(worker)
 
-    async def place_for_ever(self, orders: Orders) -> None:
-        """Sends what waits to the next worker in turn."""
+    async def place_round_robin(self, orders: Orders) -> None:
+        """Assigns waiting tasks to the workers in turn until cancelled."""
         workers: Iterator[Worker] = itertools.cycle(list(self.roster.workers()))
         while True:
-            await trio.sleep(_PASS)
+            await trio.sleep(_PASS_INTERVAL)
             placements = []
             for step in self.book.ready_steps(time.time()):
                 for task in list(step.waiting()):
@@ -118,34 +118,35 @@
                 self.send(placements, orders)
 
     def send(self, placements: list[Placement], orders: Orders) -> None:
-        """Records decisions and has them carried out."""
+        """Records placements and sends their start orders."""
         batch = self.ledger.barrier()
         for job in {p.task.step.job: None for p in placements}:
             batch = self.book.changed(job)
         orders.start(placements, batch)
 
 
-class LargeCost(NamedTuple):
-    """Milliseconds of the owner's thread.
+class RunCost(NamedTuple):
+    """Costs in milliseconds of the owner thread's CPU time.
 
     Attributes:
-        run: From decision to recorded end, without deciding.
-        by_task: The same by what took it.
-        holds: Listings for one run.
-        runs: Runs on a worker.
-        rate: Ends a second.
+        run: Cost of a run from its placement to its recorded end, without the
+            placement decision.
+        by_task: Cost of a run by the trio task that caused it.
+        listings: Listings received per run.
+        runs: Mean number of runs in a listing.
+        rate: Runs ended per second.
     """
 
     run: float
     by_task: dict[str, float]
-    holds: float
+    listings: float
     runs: float
     rate: float
 
 
-async def measure_runs(workers_at: str, store_at: str) -> LargeCost:
-    """Returns what a run costs at full size."""
-    cell = _Cell(StoreClient(store_at), workers_at)
+async def measure_runs(workers_at: str, store_at: str) -> RunCost:
+    """Returns the cost of a run with all workers and jobs."""
+    cell = _OwnerWithoutPlacement(StoreClient(store_at), workers_at)
     await cell.ledger.open()
     async with trio.open_nursery() as nursery:
         orders = Orders(nursery, cell.parts, lambda *_: None)
@@ -156,51 +157,57 @@
         nursery.start_soon(cell.ledger.run)
         nursery.start_soon(cell.roster.follow)
         await trio.sleep(1.0)
-        nursery.start_soon(cell.place_for_ever, orders)
-        await _bring_staying(cell)
-        await _bring_jobs(cell, 2.0, "first")
-        holds, entries, ended = cell.holds, cell.entries, cell.ended
+        nursery.start_soon(cell.place_round_robin, orders)
+        await _submit_long_jobs(cell)
+        await _submit_jobs(cell, 2.0, "first")
+        listings, listed_runs, ended = (
+            cell.listings,
+            cell.listed_runs,
+            cell.ended,
+        )
         timed = TimeByTask()
         trio.lowlevel.add_instrument(timed)
-        await _bring_jobs(cell, _SECONDS, "second")
+        await _submit_jobs(cell, _SECONDS, "second")
         trio.lowlevel.remove_instrument(timed)
         nursery.cancel_scope.cancel()
     runs = cell.ended - ended
-    listed = cell.holds - holds
+    listed = cell.listings - listings
     by_task = {
-        name: used / runs * _MS
+        name: used / runs * _MS_PER_SECOND
         for name, used in sorted(timed.used.items(), key=lambda item: -item[1])
-        if "bench" not in name and used / runs * _MS >= 0.001
+        if "bench" not in name and used / runs * _MS_PER_SECOND >= 0.001
     }
-    return LargeCost(
+    return RunCost(
         sum(by_task.values()),
         by_task,
         listed / runs,
-        (cell.entries - entries) / listed,
+        (cell.listed_runs - listed_runs) / listed,
         runs / _SECONDS,
     )
 
 
-async def _bring_staying(cell: _Cell) -> None:
+async def _submit_long_jobs(cell: _OwnerWithoutPlacement) -> None:
     for number in range(_SERVING_JOBS):
-        cell.book.accept(f"last{number}", QUEUE, lasting_job(number))
-        await trio.sleep(_PASS)
-    for number in range(_STAYING_JOBS):
-        step = filling_job(number).steps[0]._replace(width=14)
+        cell.book.accept(f"last{number}", QUEUE, serving_job(number))
+        await trio.sleep(_PASS_INTERVAL)
+    for number in range(_LONG_BEST_EFFORT_JOBS):
+        step = best_effort_job(number).steps[0]._replace(width=14)
         spec = JobSpec("", (step,))
         cell.book.accept(f"lastfill{number}", QUEUE, spec)
-        await trio.sleep(_PASS)
+        await trio.sleep(_PASS_INTERVAL)
 
 
-async def _bring_jobs(cell: _Cell, seconds: float, prefix: str) -> None:
+async def _submit_jobs(
+    cell: _OwnerWithoutPlacement, seconds: float, prefix: str
+) -> None:
     began = trio.current_time()
-    filling = quick = 0
+    best_effort = quick = 0
     while (passed := trio.current_time() - began) < seconds:
-        while filling < passed * _FILLING_RATE:
-            job = f"{prefix}-fill-5c0e7a21d94b36f8-{filling}"
-            cell.book.accept(job, QUEUE, filling_job(filling))
-            filling += 1
-        while quick < passed * _QUICK_RATE:
+        while best_effort < passed * _BEST_EFFORT_JOBS_PER_SECOND:
+            job = f"{prefix}-fill-5c0e7a21d94b36f8-{best_effort}"
+            cell.book.accept(job, QUEUE, best_effort_job(best_effort))
+            best_effort += 1
+        while quick < passed * _QUICK_JOBS_PER_SECOND:
             job = f"{prefix}-quick-5c0e7a21d94b36f8-{quick}"
             cell.book.accept(job, QUEUE, quick_job())
             quick += 1
@@ -208,18 +215,18 @@
 
 
 def main() -> int:
-    """Prints the costs, all in milliseconds of the owner's thread."""
+    """Prints the costs in milliseconds of the owner thread's CPU time."""
     process.configure_collector()
-    print_parts()
-    with wire_workers.serving(_WORKERS) as addresses:
+    print_call_costs()
+    with wire_workers.serve_standins(_WORKERS) as addresses:
         for name, cost in trio.run(measure_calls, addresses[0]).items():
             print(f"{name}: {cost:.3f} ms")
-        whole = trio.run(measure_runs, *addresses)
+        run_cost = trio.run(measure_runs, *addresses)
     print(
-        f"one run, {_WORKERS} workers of {whole.runs:.1f} runs,"
-        f" {whole.rate:.0f} ends a second, {whole.holds:.2f} listings for"
-        f" each: {whole.run:.3f} ms"
+        f"one run, {_WORKERS} workers of {run_cost.runs:.1f} runs,"
+        f" {run_cost.rate:.0f} ends a second,"
+        f" {run_cost.listings:.2f} listings for each: {run_cost.run:.3f} ms"
     )
-    for name, cost in whole.by_task.items():
+    for name, cost in run_cost.by_task.items():
         print(f"  {cost:.3f} {name}")
     return 0
--- a/bench/owner.py
+++ b/bench/owner.py
@@ -1,8 +1,9 @@
-"""What one task run costs the owner of a cell on the users' platform.
+"""Measures what one task run costs the owner of a cell.
 
-The owner, the store and the workers run in one process and talk over loopback
-in the platform's wire form, so that each call's cost counts at both ends. The
-bound is a ratio to one bare call of the same kind in the same run.
+The owner, the store and the workers run in one process and communicate over
+loopback in the platform's wire format, so the cost of each call includes
+client and server. The bound is relative to a call without any processing,
+measured in the same process.
 """
 
 import time
@@ -32,18 +33,25 @@
 _WORKERS = 8
 _JOBS = 60
 _WIDTH = 8
-_PAUSE = 0.05
-_SECONDS = 0.5
+_SUBMIT_INTERVAL = 0.05
+_TASK_SECONDS = 0.5
 _CALLS = 2_000
-# A run takes a start, its end's listing and its share of renewals and records:
-# about three calls, and the decisions: 7 to 8.4 over three runs.
+# A run costs about three calls (its start, the listing of its end, its share of
+# lease renewals and records) and the decisions. Three measurements gave 7 to
+# 8.4.
 RATIO_BOUND = 12.0
 
 _SIZE = Size(1000, 1000, 0)
 
 
 class Cost(NamedTuple):
-    """Milliseconds of processor time, both ends, and bytes in the store."""
+    """Costs of a run and of a call.
+
+    Attributes:
+        run: Milliseconds of processor time of a run, client and server.
+        call: Milliseconds of processor time of a bare call, client and server.
+        bytes_a_run: Bytes written to the store per run.
+    """
 
     run: float
     call: float
@@ -51,18 +59,18 @@
 
     @property
     def ratio(self) -> float:
-        """Bare calls that one run costs."""
+        """Returns the cost of a run as a multiple of a bare call."""
         return self.run / self.call
 
 
 class _Directory:
-    """Lists the workers."""
+    """A worker directory with a fixed list."""
 
     def __init__(self, lives: list[WorkerLife]) -> None:
         self._lives = lives
 
     async def poll(self, timeout: float) -> list[WorkerLife]:
-        """Returns all."""
+        """Returns all workers."""
         await trio.lowlevel.checkpoint()
         return self._lives
 
@@ -103,10 +111,10 @@
             0.0,
         )
         worker = TaskWorkerStandin(
-            life, lambda _: TaskPlan(_SECONDS, _SIZE), journal
+            life, lambda _: TaskPlan(_TASK_SECONDS, _SIZE), journal
         )
-        where = await _serve(nursery, WorkerSurface(worker).handle)
-        lives.append(life._replace(address=where))
+        worker_address = await _serve(nursery, WorkerSurface(worker).handle)
+        lives.append(life._replace(address=worker_address))
     platform = CellPlatform(
         StoreClient(address), _Directory(lives), HttpWorkerDialer()
     )
@@ -125,10 +133,10 @@
 
 
 async def _run_jobs(owner: Owner) -> None:
-    spec = JobSpec("payload", (StepSpec(_WIDTH, _SIZE, _SECONDS),))
+    spec = JobSpec("payload", (StepSpec(_WIDTH, _SIZE, _TASK_SECONDS),))
     for number in range(_JOBS):
         await owner.job_api.submit(f"j{number}", QUEUE, spec)
-        await trio.sleep(_PAUSE)
+        await trio.sleep(_SUBMIT_INTERVAL)
     jobs = [f"j{number}" for number in range(_JOBS)]
     with trio.fail_after(60):
         while any(
@@ -139,7 +147,7 @@
 
 
 async def measure() -> Cost:
-    """Returns the costs of one run and of one bare call."""
+    """Measures the costs of a run and of a bare call."""
     async with trio.open_nursery() as nursery:
         call = await _measure_call(nursery)
         run, size = await _measure_runs(nursery)
@@ -148,10 +156,10 @@
 
 
 def main() -> int:
-    """Prints the costs; returns 1 if the bound is missed."""
+    """Prints the costs; returns 1 if the bound is exceeded."""
     cost = trio.run(measure)
-    print(f"one task run, all calls, both ends: {cost.run:.2f} ms")
-    print(f"one bare call, both ends: {cost.call:.2f} ms")
+    print(f"one task run, all calls, client and server: {cost.run:.2f} ms")
+    print(f"one bare call, client and server: {cost.call:.2f} ms")
     print(f"ratio: {cost.ratio:.1f}, at most {RATIO_BOUND}")
     print(f"records of one run: {cost.bytes_a_run:.0f} bytes")
     return 0 if cost.ratio <= RATIO_BOUND else 1
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,7 +1,9 @@
-"""Placement policies on fakes: tails, throughput, evictions, lost work.
+"""Compares placement policies on simulated workers.
 
-For both deployments, five scenarios and several seeds: first fit, least
-loaded, ours, and ours told the hidden matrix. Bounds fail the run.
+Measures tail latency, throughput, evictions and lost work for two deployments,
+five scenarios and several seeds. The policies are first fit, least loaded, the
+weighted policy ("ours"), and the weighted policy with the true interference
+("told the matrix").
 """
 
 from collections import defaultdict
@@ -38,47 +40,49 @@
 _WARM_UP = 240
 _REQUESTS_A_SECOND = 24
 _BASE_MS = 5.0
-_REACTION = 0.05
-# What a caller waits who finds no replica at all.
-_NO_ANSWER_MS = 800.0
+_LATENCY_SMOOTHING = 0.05
+# Latency counted for a request if no replica runs.
+_NO_REPLICA_MS = 800.0
 SCENARIOS = ("quiet", "noisy wave", "load shift", "bad worker", "rack loss")
 POLICIES = ("first fit", "least loaded", "ours", "told the matrix")
 
 
 class FirstFit:
-    """Takes the first worker by name."""
+    """Chooses the first worker by name that has enough free resources."""
 
     def choose(
         self, wanted: PlacementRequest, workers: list[FakeWorker]
     ) -> Choice:
-        """Returns the worker; see `PlacementPolicy`."""
+        """Returns the chosen worker; see `PlacementPolicy`."""
         for worker in sorted(workers, key=lambda w: w.name):
             if wanted.size.fits_in(worker.free):
                 return Choice(worker.name, "first that fits")
         return Choice("", "no worker fits")
 
 
-class ToldInterference(Interference):
-    """Knows the hidden matrix."""
+class OracleInterference(Interference):
+    """Returns the true interference instead of estimates."""
 
     def __init__(self, matrix: Callable[[], Matrix]) -> None:
-        """Takes where the present matrix is found."""
+        """Initializes with a function that returns the current matrix."""
         super().__init__()
         self._matrix = matrix
 
     def estimate(self, victim: str, neighbour: str, band: int) -> Estimate:
-        """Returns the truth."""
-        return Estimate(self._matrix().added(victim, neighbour, band), 0.0, 0.0)
+        """Returns the true slowdown, without variance."""
+        return Estimate(
+            self._matrix().added_slowdown(victim, neighbour, band), 0.0, 0.0
+        )
 
 
 class Deployment(NamedTuple):
-    """An example's workers, classes and load.
+    """The workers, task classes and load of an example deployment.
 
     Attributes:
-        name: Of the example.
-        config: Its configuration.
-        classes: Its classes, and one of noisy tasks.
-        load: Share of the processors that batch work asks for.
+        name: Name of the example.
+        config: Configuration of the example.
+        classes: Task classes by name, with an added class of noisy tasks.
+        load: Share of the processors that batch jobs request.
     """
 
     name: str
@@ -88,15 +92,15 @@
 
 
 class Figures(NamedTuple):
-    """What a run came to.
+    """Results of a simulation.
 
     Attributes:
         p50: Median latency of requests, in milliseconds.
-        p99: 99th percentile.
-        p999: 99.9th percentile.
-        finished: Seconds of batch work finished a second.
-        evictions: Tasks that lost their place.
-        lost: Seconds of work done in vain.
+        p99: 99th percentile of the latency, in milliseconds.
+        p999: 99.9th percentile of the latency, in milliseconds.
+        finished: Processor-seconds of batch work finished per second.
+        evictions: Number of tasks evicted.
+        lost: Seconds of work lost by evictions.
     """
 
     p50: float
@@ -108,7 +112,7 @@
 
 
 def read_deployment(name: str) -> Deployment:
-    """Reads an example and adds a class of noisy tasks."""
+    """Reads an example deployment and adds a class of noisy tasks."""
     config = load_configuration(read_folder(_ROOT / "examples" / name)).ok
     classes = {
         n: FakeClass(n, TaskKind.SERVICE, s.size.resources)
@@ -123,17 +127,17 @@
 
 
 def draw_matrix(deployment: Deployment, seed: int) -> Matrix:
-    """Draws a hidden matrix: most pairs are mild, some are bad."""
-    draw = random.Random(f"{deployment.name} {seed}")
+    """Draws a random matrix: most pairs interfere little, some strongly."""
+    rng = random.Random(f"{deployment.name} {seed}")
     values: dict[str, dict[str, list[float]]] = {}
     for victim in deployment.classes:
         values[victim] = {}
         for neighbour in deployment.classes:
-            low = draw.uniform(0.0, 0.05)
+            low = rng.uniform(0.0, 0.05)
             if neighbour == "noisy":
-                low = draw.uniform(0.6, 1.5)
-            elif draw.random() < 0.4:
-                low = draw.uniform(0.4, 1.2)
+                low = rng.uniform(0.6, 1.5)
+            elif rng.random() < 0.4:
+                low = rng.uniform(0.4, 1.2)
             if deployment.classes[neighbour].kind is TaskKind.SERVICE:
                 low *= 0.3
             values[victim][neighbour] = [low, low * 1.3, low * 1.8]
@@ -141,7 +145,7 @@
 
 
 class Run:
-    """One deployment under one scenario, policy and seed."""
+    """A simulation of a deployment with a scenario, policy and seed."""
 
     def __init__(
         self,
@@ -152,18 +156,27 @@
         matrix: Matrix | None,
         duration: int,
     ) -> None:
-        """Draws the hidden matrix unless one is given."""
+        """Initializes the simulation; draws a matrix if none is given.
+
+        Args:
+            deployment: Simulated deployment.
+            scenario: One of `SCENARIOS`.
+            policy: One of `POLICIES`.
+            seed: Seed of all random numbers.
+            matrix: True interference, or None for a random one.
+            duration: Simulated seconds.
+        """
         self._deployment = deployment
         self._scenario = scenario
-        self._draw = random.Random(f"{scenario} {seed}")
-        self._requests = random.Random(f"requests {seed}")
+        self._rng = random.Random(f"{scenario} {seed}")
+        self._request_rng = random.Random(f"requests {seed}")
         self._matrix = matrix or draw_matrix(deployment, seed)
-        self._later = matrix or draw_matrix(deployment, seed + 1_000)
+        self._later_matrix = matrix or draw_matrix(deployment, seed + 1_000)
         self._duration = duration
-        self._uses_ours = policy in ("ours", "told the matrix")
+        self._uses_weighted = policy in ("ours", "told the matrix")
         self._interference = Interference()
         if policy == "told the matrix":
-            self._interference = ToldInterference(lambda: self._matrix)
+            self._interference = OracleInterference(lambda: self._matrix)
         self._policy = self._make_policy(policy)
         self._quarantine = Quarantine()
         self._usage = FakeUsage(self._matrix, random.Random(f"usage {seed}"))
@@ -177,23 +190,23 @@
         self._finished = self._evictions = self._lost = 0.0
 
     def run(self) -> Figures:
-        """Runs to the end."""
+        """Runs the simulation and returns its results."""
         self._start_services()
         for now in range(self._duration):
-            self._bring(now)
+            self._apply_event(now)
             self._arrive(now)
             self._place(now)
-            self._work(now)
-            self._serve(now)
+            self._advance_batch(now)
+            self._serve_requests(now)
             self._learn(now)
             if now % int(MOVE_INTERVAL_SECONDS) == 0:
                 self._rebalance(now)
         ordered = sorted(self._latencies)
         measured = self._duration - self._duration * _WARM_UP / DURATION
         return Figures(
-            _at(ordered, 0.5),
-            _at(ordered, 0.99),
-            _at(ordered, 0.999),
+            _percentile(ordered, 0.5),
+            _percentile(ordered, 0.99),
+            _percentile(ordered, 0.999),
             self._finished / measured,
             self._evictions,
             self._lost,
@@ -215,7 +228,7 @@
             for n in range(total)
         ]
 
-    def _counts(self, now: int) -> bool:
+    def _is_measured(self, now: int) -> bool:
         return now >= self._duration * _WARM_UP / DURATION
 
     def _start_services(self) -> None:
@@ -226,15 +239,15 @@
 
     def _new_task(self, class_name: str, now: int) -> FakeTask:
         self._number += 1
-        of = self._deployment.classes[class_name]
-        return FakeTask(f"{class_name}-{self._number}", of, now)
+        task_class = self._deployment.classes[class_name]
+        return FakeTask(f"{class_name}-{self._number}", task_class, now)
 
-    def _bring(self, now: int) -> None:
-        """Brings the scenario's event about."""
+    def _apply_event(self, now: int) -> None:
+        """Applies the events of the scenario that are due now."""
         if now == self._duration // 2:
             if self._scenario == "load shift":
-                self._matrix = self._later
-                self._usage._matrix = self._later
+                self._matrix = self._later_matrix
+                self._usage._matrix = self._later_matrix
             elif self._scenario == "rack loss":
                 for worker in self._workers:
                     if worker.rack == 0:
@@ -252,11 +265,11 @@
             self._evict(task, now)
 
     def _evict(self, task: FakeTask, now: int) -> None:
-        if self._counts(now):
+        if self._is_measured(now):
             self._evictions += 1
-            self._lost += task.of.seconds - task.left
-        task.left = task.of.seconds
-        if task.of.kind is TaskKind.SERVICE:
+            self._lost += task.task_class.seconds - task.seconds_left
+        task.seconds_left = task.task_class.seconds
+        if task.task_class.kind is TaskKind.SERVICE:
             self._queue.insert(0, task)
         else:
             self._queue.append(task)
@@ -271,69 +284,80 @@
         ]
         if self._scenario == "load shift" and now >= self._duration // 2:
             capacity *= 1.3
-        for of in batch:
-            share = capacity / len(batch) / (of.size.processors * of.seconds)
-            for _ in range(_poisson(self._draw, share)):
-                self._queue.append(self._new_task(of.name, now))
+        for task_class in batch:
+            share = (
+                capacity
+                / len(batch)
+                / (task_class.size.processors * task_class.seconds)
+            )
+            for _ in range(_poisson(self._rng, share)):
+                self._queue.append(self._new_task(task_class.name, now))
         wave = now % (self._duration // 3) < self._duration // 9
         if self._scenario == "noisy wave" and wave:
-            for _ in range(_poisson(self._draw, len(self._workers) / 60)):
+            for _ in range(_poisson(self._rng, len(self._workers) / 60)):
                 self._queue.append(self._new_task("noisy", now))
 
     def _place(self, now: int) -> None:
         waiting: list[FakeTask] = []
         blocked: set[str] = set()
         for task in self._queue:
-            if task.of.name in blocked or not self._place_one(task, now):
-                blocked.add(task.of.name)
+            if task.task_class.name in blocked or not self._place_one(
+                task, now
+            ):
+                blocked.add(task.task_class.name)
                 waiting.append(task)
         self._queue = waiting
 
     def _place_one(self, task: FakeTask, now: int) -> bool:
         usable = [w for w in self._workers if w.alive]
-        if task.of.kind is TaskKind.BATCH and self._uses_ours:
+        if task.task_class.kind is TaskKind.BATCH and self._uses_weighted:
             usable = [w for w in usable if self._quarantine.admits(w.name, now)]
-            fresh = [w for w in usable if w.name not in task.avoid]
-            usable = fresh or usable
-        of = task.of
-        wanted = PlacementRequest(task.name, of.kind, of.name, of.size)
+            not_avoided = [w for w in usable if w.name not in task.avoid]
+            usable = not_avoided or usable
+        task_class = task.task_class
+        wanted = PlacementRequest(
+            task.name, task_class.kind, task_class.name, task_class.size
+        )
         choice = self._policy.choose(wanted, usable)
         if not choice.worker:
             return False
         worker = next(w for w in usable if w.name == choice.worker)
         worker.add(task)
         self._quarantine.note_started(worker.name)
-        if of.kind is TaskKind.SERVICE:
-            self._replicas[of.name].append(task)
+        if task_class.kind is TaskKind.SERVICE:
+            self._replicas[task_class.name].append(task)
         return True
 
-    def _work(self, now: int) -> None:
+    def _advance_batch(self, now: int) -> None:
         for worker in self._workers:
             for task in list(worker.tasks.values()):
-                if task.of.kind is not TaskKind.BATCH:
+                if task.task_class.kind is not TaskKind.BATCH:
                     continue
                 if worker.fails_all:
                     self._fail(task, worker, now)
                     continue
                 slow = self._matrix.slowdown(
-                    task.of.name, worker.classes, worker.band
+                    task.task_class.name, worker.classes, worker.band
                 )
-                task.left -= 1 / (1 + slow)
-                if task.left <= 0:
+                task.seconds_left -= 1 / (1 + slow)
+                if task.seconds_left <= 0:
                     worker.remove(task)
                     self._quarantine.note_finished(worker.name)
-                    if self._counts(now):
-                        work = task.of.seconds * task.of.size.processors
+                    if self._is_measured(now):
+                        work = (
+                            task.task_class.seconds
+                            * task.task_class.size.processors
+                        )
                         self._finished += work
 
     def _fail(self, task: FakeTask, worker: FakeWorker, now: int) -> None:
         worker.remove(task)
         task.avoid.add(worker.name)
         self._quarantine.note_failed(worker.name, task.name, now)
-        task.left = task.of.seconds
+        task.seconds_left = task.task_class.seconds
         self._queue.insert(0, task)
 
-    def _serve(self, now: int) -> None:
+    def _serve_requests(self, now: int) -> None:
         for name, replicas in self._replicas.items():
             running = [t for t in replicas if t.worker is not None]
             self._replicas[name] = running
@@ -345,29 +369,27 @@
                 if t.worker is not None
             }
             for _ in range(_REQUESTS_A_SECOND):
-                self._call(running, slow, now)
+                self._send_request(running, slow, now)
 
-    def _call(
+    def _send_request(
         self, running: list[FakeTask], slow: dict[str, float], now: int
     ) -> None:
-        draw = self._requests
+        rng = self._request_rng
         if not running:
-            if self._counts(now):
-                self._latencies.append(_NO_ANSWER_MS)
+            if self._is_measured(now):
+                self._latencies.append(_NO_REPLICA_MS)
             return
-        first, second = (draw.choice(running), draw.choice(running))
-        usual = self._latency
-        task = min(first, second, key=lambda t: usual.get(t.name, _BASE_MS))
-        latency = (
-            _BASE_MS * (1 + slow[task.name]) * draw.lognormvariate(0, 0.25)
-        )
-        before = usual.get(task.name, _BASE_MS)
-        usual[task.name] = before + _REACTION * (latency - before)
-        if self._counts(now):
+        first, second = (rng.choice(running), rng.choice(running))
+        smoothed = self._latency
+        task = min(first, second, key=lambda t: smoothed.get(t.name, _BASE_MS))
+        latency = _BASE_MS * (1 + slow[task.name]) * rng.lognormvariate(0, 0.25)
+        before = smoothed.get(task.name, _BASE_MS)
+        smoothed[task.name] = before + _LATENCY_SMOOTHING * (latency - before)
+        if self._is_measured(now):
             self._latencies.append(latency)
 
     def _rebalance(self, now: int) -> None:
-        """Moves at most one replica, as an owner does."""
+        """Moves at most one replica, as the owner of a cell does."""
         if not isinstance(self._policy, WeightedPolicy):
             return
         usable = [w for w in self._workers if w.alive]
@@ -379,7 +401,12 @@
         }
         placed = [
             PlacedReplica(
-                PlacementRequest(t.name, t.of.kind, t.of.name, t.of.size),
+                PlacementRequest(
+                    t.name,
+                    t.task_class.kind,
+                    t.task_class.name,
+                    t.task_class.size,
+                ),
                 t.worker.name,
             )
             for t in tasks.values()
@@ -393,26 +420,26 @@
         task.worker.remove(task)
         next(w for w in usable if w.name == move.to).add(task)
         self._latency.pop(task.name, None)
-        self.moves += self._counts(now)
+        self.moves += self._is_measured(now)
 
     def _learn(self, now: int) -> None:
         self._usage.measure(now, [w for w in self._workers if w.alive])
-        for report in self._usage.take(now):
+        for report in self._usage.pop_known(now):
             self._interference.learn(
                 report.victim, report.others, report.band, report.slowdown, now
             )
 
 
-def _at(ordered: list[float], share: float) -> float:
+def _percentile(ordered: list[float], share: float) -> float:
     return ordered[min(int(share * len(ordered)), len(ordered) - 1)]
 
 
-def _poisson(draw: random.Random, mean: float) -> int:
-    """Draws how many arrive in a step."""
-    total, spent = 0, draw.expovariate(1.0)
-    while spent < mean:
+def _poisson(rng: random.Random, mean: float) -> int:
+    """Draws a Poisson-distributed number of arrivals."""
+    total, elapsed = 0, rng.expovariate(1.0)
+    while elapsed < mean:
         total += 1
-        spent += draw.expovariate(1.0)
+        elapsed += rng.expovariate(1.0)
     return total
 
 
@@ -420,7 +447,7 @@
 
 
 def measure(seeds: range, matrix: Matrix | None, duration: int) -> Table:
-    """Returns the mean figures by deployment, scenario and policy."""
+    """Returns the mean results by deployment, scenario and policy."""
     table: Table = {}
     for name in ("quetzal", "ostend"):
         deployment = read_deployment(name)
--- a/bench/policy_report.py
+++ b/bench/policy_report.py
@@ -1,4 +1,4 @@
-"""Bounds, table and plot of the comparison of placement policies."""
+"""Checks the bounds of the placement policy comparison; prints and plots it."""
 
 from pathlib import Path
 from typing import NamedTuple
@@ -12,7 +12,14 @@
 
 
 class Bound(NamedTuple):
-    """A bound and how far it is met."""
+    """A measured value and its bound.
+
+    Attributes:
+        what: Deployment, scenario and compared figure.
+        value: Measured value.
+        bound: Limit of the value.
+        at_most: Whether the bound is an upper limit.
+    """
 
     what: str
     value: float
@@ -21,62 +28,72 @@
 
     @property
     def met(self) -> bool:
-        """True if it is met."""
+        """Returns whether the value is within the bound."""
         if self.at_most:
             return self.value <= self.bound
         return self.value >= self.bound
 
 
 def bounds(table: Table) -> list[Bound]:
-    """Returns the bounds of every scenario."""
+    """Returns the bounds of all scenarios with their measured values."""
     found: list[Bound] = []
     for scenario in SCENARIOS:
         for name in ("quetzal", "ostend"):
-            plain, ours, told = (
+            least_loaded, ours, oracle = (
                 table[(name, scenario, policy)]
                 for policy in ("least loaded", "ours", "told the matrix")
             )
             label = f"{name}, {scenario}"
-            done = ours.finished / plain.finished
+            done = ours.finished / least_loaded.finished
             if name == "quetzal":
                 found += [
                     Bound(
-                        f"{label}: p99 of least loaded's",
-                        ours.p99 / plain.p99,
+                        f"{label}: p99 relative to least loaded",
+                        ours.p99 / least_loaded.p99,
                         0.5,
                         True,
                     ),
-                    Bound(f"{label}: throughput of it", done, 0.95, False),
+                    Bound(
+                        f"{label}: throughput relative to least loaded",
+                        done,
+                        0.95,
+                        False,
+                    ),
                 ]
             else:
                 found.append(
-                    Bound(f"{label}: throughput of it", done, 1.0, False)
+                    Bound(
+                        f"{label}: throughput relative to least loaded",
+                        done,
+                        1.0,
+                        False,
+                    )
                 )
-                if plain.evictions:
+                if least_loaded.evictions:
                     found += [
                         Bound(
-                            f"{label}: evictions of it",
-                            ours.evictions / plain.evictions,
+                            f"{label}: evictions relative to least loaded",
+                            ours.evictions / least_loaded.evictions,
                             0.3,
                             True,
                         ),
                         Bound(
-                            f"{label}: lost work of it",
-                            ours.lost / max(plain.lost, 1e-9),
+                            f"{label}: lost work relative to least loaded",
+                            ours.lost / max(least_loaded.lost, 1e-9),
                             0.3,
                             True,
                         ),
                     ]
             found += [
                 Bound(
-                    f"{label}: p99 of the told one's",
-                    ours.p99 / told.p99,
+                    f"{label}: p99 relative to told the matrix",
+                    ours.p99 / oracle.p99,
                     1.1,
                     True,
                 ),
                 Bound(
-                    f"{label}: throughput of the told one's",
-                    ours.finished / told.finished,
+                    f"{label}: throughput relative to told the matrix",
+                    ours.finished / oracle.finished,
                     0.9,
                     False,
                 ),
@@ -87,7 +104,7 @@
                 bad = table[(name, "bad worker", "ours")].finished
                 found.append(
                     Bound(
-                        f"{name}: throughput beside a black hole",
+                        f"{name}: throughput with a worker failing all tasks",
                         bad / quiet,
                         0.99,
                         False,
@@ -97,7 +114,7 @@
 
 
 def print_table(table: Table) -> None:
-    """Prints the figures."""
+    """Prints the results."""
     print(
         "deployment | scenario | policy | p50 ms | p99 ms | p99.9 ms |"
         " work/s | evictions | lost s"
@@ -111,7 +128,7 @@
 
 
 def plot(table: Table, path: Path) -> None:
-    """Draws the 99th percentiles and the throughput."""
+    """Writes a plot of the 99th percentiles and the throughput."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -130,7 +147,7 @@
                 axis.bar(places, values, 0.18, label=policy)
             axis.set_xticks([i + 0.3 for i in range(len(SCENARIOS))])
             axis.set_xticklabels(SCENARIOS)
-            what = "p99, ms" if part == "p99" else "batch work a second"
+            what = "p99, ms" if part == "p99" else "batch work per second"
             axis.set_title(f"{name}: {what}")
     axes[0][0].legend()
     figure.tight_layout()
@@ -138,7 +155,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Prints the table and the bounds; returns 1 if one is missed."""
+    """Prints the results and the bounds; returns 1 if a bound is missed."""
     code: list[int] = []
 
     def run(
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""Starts the product and its stand-ins as processes on this machine."""
+"""Starts a cluster and its stand-ins as local processes."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -26,7 +26,7 @@
 
 
 class EntryAddress(NamedTuple):
-    """Where an entry process listens, as host:port each."""
+    """The name, the zone and the host:port addresses of an entry process."""
 
     name: str
     zone: str
@@ -36,11 +36,11 @@
 
 
 class Resources(NamedTuple):
-    """What a process has used.
+    """Resources used by a process.
 
     Attributes:
-        cpu_seconds: Processor time.
-        memory: Resident bytes.
+        cpu_seconds: Processor time since the start.
+        memory: Resident memory in bytes.
     """
 
     cpu_seconds: float
@@ -48,15 +48,15 @@
 
 
 class Processes:
-    """Processes by name, each ended by its pid at the end."""
+    """Child processes by name."""
 
     def __init__(self, folder: Path) -> None:
-        """Takes a folder for their output and journals."""
+        """Initializes with the folder for outputs and journals."""
         self.folder = folder
         self._running: dict[str, subprocess.Popen[bytes]] = {}
 
     def start(self, name: str, *arguments: str) -> None:
-        """Starts `pimentocross` with arguments."""
+        """Starts `pimentocross` with arguments under a name."""
         output = (self.folder / f"{name}.out").open("ab")
         environment = {
             **os.environ,
@@ -73,28 +73,32 @@
         output.close()
 
     def kill(self, name: str) -> float:
-        """Kills a process; returns when, on the monotonic clock."""
+        """Kills a process; returns the monotonic time of its end."""
         process = self._running.pop(name)
         process.kill()
         process.wait()
         return time.monotonic()
 
     def stop(self, name: str, timeout: float) -> int:
-        """Asks a process to stop; returns its exit code."""
+        """Terminates a process gracefully; returns its exit code.
+
+        Raises:
+            subprocess.TimeoutExpired: If it still runs after `timeout` seconds.
+        """
         process = self._running.pop(name)
         process.terminate()
         return process.wait(timeout)
 
     def pause(self, name: str) -> None:
-        """Freezes a process."""
+        """Suspends a process."""
         self._running[name].send_signal(signal.SIGSTOP)
 
     def resume(self, name: str) -> None:
-        """Lets a frozen process go on."""
+        """Resumes a suspended process."""
         self._running[name].send_signal(signal.SIGCONT)
 
     def used(self, name: str) -> Resources:
-        """Returns what a process has used since its start."""
+        """Returns the resources used by a process."""
         pid = self._running[name].pid
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2]
         parts = fields.split()
@@ -105,15 +109,15 @@
             pages * os.sysconf("SC_PAGE_SIZE"),
         )
 
-    def end(self) -> None:
-        """Kills what still runs."""
+    def kill_all(self) -> None:
+        """Kills all processes that still run."""
         for name in list(self._running):
             self._running[name].send_signal(signal.SIGCONT)
             self.kill(name)
 
 
 class Cluster(NamedTuple):
-    """The processes of a cluster and where they listen."""
+    """The processes of a cluster and their addresses."""
 
     processes: Processes
     config: Configuration
@@ -123,7 +127,7 @@
     workers: list[str]
 
     def start_entry(self, name: str) -> None:
-        """Starts an entry process, also in the place of a dead one."""
+        """Starts an entry process, or restarts one that has ended."""
         entry = self.entries[name]
         arguments = [
             "entry",
@@ -139,10 +143,10 @@
         ]
         self.processes.start(name, *arguments)
         vm = [name, "entry", entry.peer, entry.zone, "rack-0", "live", name]
-        ask("PUT", f"http://{self.vm_list}/vms/{name}", vm)
+        request_json("PUT", f"http://{self.vm_list}/vms/{name}", vm)
 
     def journal(self) -> list[JournalEntry]:
-        """Returns what all workers have noted."""
+        """Returns the journal entries of all workers."""
         entries: list[JournalEntry] = []
         for path in self.processes.folder.glob("*.journal"):
             with path.open("rb") as lines:
@@ -150,10 +154,14 @@
         return entries
 
 
-def ask(
+def request_json(
     method: str, url: str, body: object = None, token: str = TOKEN
 ) -> tuple[int, Any]:
-    """Sends JSON; returns status and decoded reply, or 0 for no answer."""
+    """Sends a JSON request.
+
+    Returns:
+        The status and the decoded reply, or 0 and None on a connection error.
+    """
     headers = [("Authorization", f"Bearer {token}")]
     timeouts = dict.fromkeys(["connect", "read", "write", "pool"], 60.0)
     content = msgspec.json.encode(body) if body is not None else b""
@@ -172,13 +180,13 @@
 
 @contextmanager
 def open_processes() -> Iterator[Processes]:
-    """Gives a place for processes; ends them all at the end."""
+    """Yields a `Processes` and kills its processes on exit."""
     with tempfile.TemporaryDirectory() as folder:
         processes = Processes(Path(folder))
         try:
             yield processes
         finally:
-            processes.end()
+            processes.kill_all()
 
 
 @contextmanager
@@ -189,7 +197,14 @@
     retention: float = 3600.0,
     service_time: float = 0.005,
 ) -> Iterator[Cluster]:
-    """Runs a configuration's workers and so many entry processes."""
+    """Runs the workers of a configuration and a number of entry processes.
+
+    Args:
+        folder: Folder of the configuration files.
+        entries: Number of entry processes.
+        retention: Seconds for which the log keeps records.
+        service_time: Seconds that a worker takes to serve a request.
+    """
     config = load_configuration(read_folder(folder)).ok
     with open_processes() as processes:
         log, vm_list = (f"{HOST}:{free_port()}" for _ in range(2))
@@ -201,7 +216,7 @@
             f"--retention={retention}",
         )
         processes.start("vms", "standin", "vms", f"--port={_port(vm_list)}")
-        _wait_answers(
+        _wait_until_answering(
             [f"http://{log}/streams/x?from=0", f"http://{vm_list}/vms"]
         )
         zones = sorted(config.zones)
@@ -215,7 +230,7 @@
         cluster = Cluster(processes, config, log, vm_list, addresses, workers)
         for name in addresses:
             cluster.start_entry(name)
-        _wait_answers(
+        _wait_until_answering(
             [f"http://{e.operator}/config" for e in addresses.values()]
         )
         yield cluster
@@ -251,12 +266,12 @@
     return names
 
 
-def _wait_answers(urls: list[str]) -> None:
+def _wait_until_answering(urls: list[str]) -> None:
     deadline = time.monotonic() + _START_TIMEOUT
     for url in urls:
-        while ask("GET", url)[0] == 0:
+        while request_json("GET", url)[0] == 0:
             if time.monotonic() > deadline:
-                raise TimeoutError(url)
+                raise TimeoutError(f"no reply from {url}")
             time.sleep(0.1)
 
 
--- a/bench/rehearsal.py
+++ b/bench/rehearsal.py
@@ -1,8 +1,9 @@
-"""A rehearsal of disasters with real processes; exits 0 only if all held.
+"""Injects faults into a cluster of real processes and checks its invariants.
 
-7 entry processes over 3 availability zones and 24 workers serve steady calls
-and jobs, while 2 entry processes are killed, 1 is paused past its leases, the
-log is away for 30 s and loses replies, and 3 workers die.
+7 entry processes in 3 availability zones and 24 workers serve steady calls and
+jobs. Meanwhile 2 entry processes are killed, 1 is paused for longer than its
+leases, the log is unavailable for 30 s and then loses replies, and 3 workers
+are killed. Exits with 0 only if all invariants hold.
 """
 
 from collections import Counter
@@ -14,7 +15,7 @@
 
 import trio
 
-from bench.processes import Cluster, ask, open_process_cluster
+from bench.processes import Cluster, open_process_cluster, request_json
 from pimentocross.config.load import read_folder
 from pimentocross.standins.caller import CallerStandin, CallKind
 from pimentocross.standins.checks import (
@@ -29,25 +30,31 @@
 
 _FOLDER = Path(__file__).parent.parent / "examples" / "quetzal"
 _ENTRIES = 7
-_TRAFFIC = 110.0
+_TRAFFIC_SECONDS = 110.0
 _CALLS_PER_SECOND = 30.0
 _JOBS_PER_SECOND = 1.5
 _POST_SHARE = 0.2
-_REPEAT_SHARE = 0.5
+_RETRY_SHARE = 0.5
 _CALL_TIMEOUT = 5.0
-_SETTLE = 120.0
+_SETTLE_TIMEOUT = 120.0
 _SERVICE = "juguetes-stock"
 
 
 class Fault(NamedTuple):
-    """Something that happens at a time; see `_Director`."""
+    """A fault to inject or a repair.
+
+    Attributes:
+        at: Seconds since the start of the traffic.
+        action: Kind of fault or repair; see `_FaultInjector`.
+        subject: Name of a worker, or of the cell whose owner is affected.
+    """
 
     at: float
     action: str
     subject: str = ""
 
 
-# Seconds from the start of the traffic. Owners are looked up when it happens.
+# The owner of a cell is looked up when its fault is due.
 PLAN = [
     Fault(10.0, "kill owner", "zona-norte"),
     Fault(15.0, "kill worker", "zona-norte-w0"),
@@ -65,25 +72,25 @@
 
 
 class Traffic:
-    """Callers behind a balancer that asks each entry VM for its health."""
+    """Callers behind a load balancer that checks the health of entry VMs."""
 
     def __init__(self, cluster: Cluster) -> None:
-        """Starts with every entry VM in the balancer."""
+        """Initializes with all entry VMs regarded as healthy."""
         self.caller = CallerStandin()
         self.refused: list[str] = []
         self.jobs: list[str] = []
-        self.repeats: Counter[str] = Counter()
+        self.retries: Counter[str] = Counter()
         self._cluster = cluster
         self._random = random.Random(7)
         self._healthy = list(cluster.entries)
 
     def pick(self) -> str:
-        """Returns the caller address of a healthy entry VM."""
+        """Returns the caller address of a random healthy entry VM."""
         name = self._random.choice(self._healthy or list(self._cluster.entries))
         return self._cluster.entries[name].caller
 
     async def check_health(self) -> None:
-        """Keeps the balancer's list, as the platform would."""
+        """Checks the entry VMs regularly, as the platform's balancer does."""
         while True:
             healthy = []
             for name, entry in self._cluster.entries.items():
@@ -114,10 +121,10 @@
         key = f"call-{number}"
         path = f"/shelf/{number}"
         outcomes = [await self._call_once(method, path, key)]
-        if post and self._random.random() < _REPEAT_SHARE:
-            # The caller repeats the order through any other entry VM.
+        if post and self._random.random() < _RETRY_SHARE:
+            # The caller retries with the same key through any entry VM.
             outcomes.append(await self._call_once(method, path, key))
-            self.repeats[outcomes[-1]] += 1
+            self.retries[outcomes[-1]] += 1
         if all(kind == CallKind.NOT_RUN for kind in outcomes):
             self.refused.append(key)
 
@@ -137,8 +144,8 @@
             self.jobs.append(job)
 
 
-class _Director:
-    """Brings the faults of the plan about."""
+class _FaultInjector:
+    """Injects the faults of a plan."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.killed_workers: dict[str, float] = {}
@@ -147,14 +154,14 @@
         self._paused = ""
 
     async def run(self, plan: list[Fault]) -> None:
-        """Goes through the plan."""
+        """Injects each fault of the plan when it is due."""
         began = trio.current_time()
         for fault in plan:
             await trio.sleep_until(began + fault.at)
-            done = await self._do(fault)
+            done = await self._inject(fault)
             print(f"{fault.at:6.1f} s  {fault.action} {done}", flush=True)
 
-    async def _do(self, fault: Fault) -> str:
+    async def _inject(self, fault: Fault) -> str:
         processes = self._cluster.processes
         match fault.action:
             case "kill owner":
@@ -190,12 +197,12 @@
         return ""
 
     async def _owner(self, cell: str) -> str:
-        """Returns the live entry VM that owns a cell, but no paused one."""
+        """Returns the live, not paused entry VM that owns a cell."""
         for entry in self._cluster.entries.values():
             if entry.name in (*self._killed, self._paused):
                 continue
             url = f"http://{entry.operator}/status"
-            _, rows = await trio.to_thread.run_sync(ask, "GET", url)
+            _, rows = await trio.to_thread.run_sync(request_json, "GET", url)
             for row in rows or []:
                 if any(c["cell"] == cell for c in row["cells"]):
                     return str(row["name"])
@@ -206,7 +213,7 @@
 
     async def _set_log(self, plan: dict[str, object]) -> None:
         url = f"http://{self._cluster.log}/faults"
-        await trio.to_thread.run_sync(ask, "POST", url, plan)
+        await trio.to_thread.run_sync(request_json, "POST", url, plan)
 
 
 def _is_healthy(address: str) -> bool:
@@ -229,42 +236,46 @@
 
 
 async def _wait_jobs(traffic: Traffic) -> dict[str, str]:
-    """Returns the states of jobs that have not finished in time."""
-    left = dict.fromkeys(traffic.jobs, "")
-    with trio.move_on_after(_SETTLE):
-        while left:
-            for job in list(left):
+    """Waits for all jobs; returns the states of those not finished in time."""
+    unfinished = dict.fromkeys(traffic.jobs, "")
+    with trio.move_on_after(_SETTLE_TIMEOUT):
+        while unfinished:
+            for job in list(unfinished):
                 state = await traffic.caller.job_state(traffic.pick(), job)
-                left[job] = state
+                unfinished[job] = state
                 if state == "finished":
-                    del left[job]
+                    del unfinished[job]
             await trio.sleep(0.5)
-    return left
+    return unfinished
 
 
-def _find_broken(
+def _find_violations(
     cluster: Cluster,
     traffic: Traffic,
     killed: dict[str, float],
-    left: dict[str, str],
+    unfinished: dict[str, str],
 ) -> list[str]:
     journal = cluster.journal()
     died = _processes_of(journal, killed)
     runs = read_runs(journal, died)
-    broken = find_two_places(runs)
-    broken += find_over_commit(journal, cluster.config.workers.resources)
-    broken += find_served_twice(journal)
-    broken += find_false_not_run(journal, traffic.refused)
-    broken += [f"job {job} is {state!r}" for job, state in left.items()]
+    violations = find_two_places(runs)
+    violations += find_over_commit(journal, cluster.config.workers.resources)
+    violations += find_served_twice(journal)
+    violations += find_false_not_run(journal, traffic.refused)
+    violations += [
+        f"job {job} is {state!r}" for job, state in unfinished.items()
+    ]
     if traffic.caller.outcomes[(CallKind.MIXED_UP.value, "")]:
-        broken.append("an answer went to another caller")
+        violations.append("a reply was sent to another caller")
     finished = finished_tasks(r for r in runs if r.process not in died)
-    broken += [f"{t} finished {n} times" for t, n in finished.items() if n > 1]
-    everywhere = finished_tasks(runs)
+    violations += [
+        f"{t} finished {n} times" for t, n in finished.items() if n > 1
+    ]
+    finished_anywhere = finished_tasks(runs)
     for job in traffic.jobs:
-        if not everywhere[f"{job}/0"]:
-            broken.append(f"{job} is said to be finished, yet never was")
-    return broken
+        if not finished_anywhere[f"{job}/0"]:
+            violations.append(f"{job} is reported as finished but was not run")
+    return violations
 
 
 def _processes_of(
@@ -279,60 +290,69 @@
 
 async def _rehearse(cluster: Cluster) -> int:
     traffic = Traffic(cluster)
-    director = _Director(cluster)
+    fault_injector = _FaultInjector(cluster)
     async with trio.open_nursery() as health:
         health.start_soon(traffic.check_health)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(director.run, PLAN)
-            with trio.move_on_after(_TRAFFIC):
+            nursery.start_soon(fault_injector.run, PLAN)
+            with trio.move_on_after(_TRAFFIC_SECONDS):
                 await traffic.send(nursery)
             nursery.cancel_scope.deadline = trio.current_time() + 30.0
-        left = await _wait_jobs(traffic)
+        unfinished = await _wait_jobs(traffic)
         health.cancel_scope.cancel()
-    broken = _find_broken(cluster, traffic, director.killed_workers, left)
-    _print_report(cluster, traffic, director, broken)
-    return 1 if broken else 0
+    violations = _find_violations(
+        cluster, traffic, fault_injector.killed_workers, unfinished
+    )
+    _print_report(cluster, traffic, fault_injector, violations)
+    return 1 if violations else 0
 
 
 def _print_report(
     cluster: Cluster,
     traffic: Traffic,
-    director: _Director,
-    broken: list[str],
+    fault_injector: _FaultInjector,
+    violations: list[str],
 ) -> None:
     print("\ncalls and submissions by how they ended:")
     for (kind, reason), n in sorted(traffic.caller.outcomes.items()):
         print(f"  {n:6} {kind} {reason}".rstrip())
-    print(f"repeated orders by how the repeat ended: {dict(traffic.repeats)}")
+    print(f"retried calls by how the retry ended: {dict(traffic.retries)}")
     latencies = sorted(traffic.caller.latencies)
     for share in (0.5, 0.9, 0.99, 0.999):
         at = latencies[min(int(share * len(latencies)), len(latencies) - 1)]
         print(f"  p{share * 100:g} of answered calls: {at * 1000:.1f} ms")
     journal = cluster.journal()
-    died = _processes_of(journal, director.killed_workers)
+    died = _processes_of(journal, fault_injector.killed_workers)
     runs = [r for r in read_runs(journal, died) if r.kind == "batch"]
-    print(f"jobs accepted {len(traffic.jobs)}, tries of tasks {len(runs)}")
+    print(f"jobs accepted {len(traffic.jobs)}, task attempts {len(runs)}")
     states = Counter(run.state for run in runs)
-    print(f"tries by how they ended: {dict(states)}")
+    print(f"task attempts by how they ended: {dict(states)}")
     first = min((run.started for run in runs), default=0.0)
     for run in runs:
         if run.state in ("stopped", "lapsed"):
             print(
-                f"  {run.state}: {run.task} try {run.attempt} on {run.machine},"
-                f" {run.started - first:.1f} to {run.ended - first:.1f} s"
+                f"  {run.state}: {run.task} attempt {run.attempt} on"
+                f" {run.machine}, {run.started - first:.1f} to"
+                f" {run.ended - first:.1f} s"
             )
-    for line in broken:
+    for line in violations:
         print(f"BROKEN: {line}")
-    print("every invariant held" if not broken else f"{len(broken)} broken")
+    print(
+        "every invariant held"
+        if not violations
+        else f"{len(violations)} broken"
+    )
 
 
 def main() -> int:
-    """Runs the rehearsal; returns the exit code."""
+    """Runs the rehearsal; returns 1 if an invariant was violated."""
     began = time.monotonic()
     with open_process_cluster(_FOLDER, _ENTRIES) as cluster:
         entry = next(iter(cluster.entries.values()))
         change = {"base": 0, "files": read_folder(_FOLDER), "removed": []}
-        status, body = ask("POST", f"http://{entry.operator}/config", change)
+        status, body = request_json(
+            "POST", f"http://{entry.operator}/config", change
+        )
         print(f"configuration: {status} {body}", flush=True)
         time.sleep(8.0)
         code = trio.run(_rehearse, cluster)
--- a/bench/request.py
+++ b/bench/request.py
@@ -1,7 +1,8 @@
-"""What a request through an entry VM costs beside one sent straight.
+"""Compares the cost of requests through an entry VM with direct requests.
 
-Processor time of all processes involved, client included, for the same
-requests; both ways in turn in one run, so that the machine's speed drops out.
+The cost is the processor time of all processes involved, including the sender.
+Rounds of direct requests and of requests through the entry VM alternate, so
+that the speed of the computer cancels out of the ratio.
 """
 
 from collections.abc import Iterator
@@ -13,7 +14,7 @@
 
 import httpcore
 
-from bench.processes import Cluster, ask, open_process_cluster
+from bench.processes import Cluster, open_process_cluster, request_json
 from pimentocross.config.load import read_folder
 from pimentocross.links.headers import SERVICE
 
@@ -38,52 +39,52 @@
 
 
 class Costs(NamedTuple):
-    """Processor time a request, in milliseconds, and their ratio."""
+    """Milliseconds of processor time per request by path, and the ratio."""
 
-    straight: float
-    through: float
+    direct: float
+    via_entry: float
     ratio: float
 
 
 @contextmanager
 def open_small_cluster() -> Iterator[Cluster]:
-    """Runs one entry process and one worker whose service answers at once."""
+    """Runs an entry process and a worker whose service replies at once."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         (folder / "10.yaml").write_text(_CONFIG)
         with open_process_cluster(folder, 1, service_time=0.0) as cluster:
             entry = cluster.entries["entry-0"]
             change = {"base": 0, "files": read_folder(folder), "removed": []}
-            ask("POST", f"http://{entry.operator}/config", change)
+            request_json("POST", f"http://{entry.operator}/config", change)
             _wait_service(entry.caller)
             yield cluster
 
 
 def _wait_service(caller: str) -> None:
     deadline = time.monotonic() + 30
-    while ask("GET", f"http://{caller}/services/echo/")[0] != 200:
+    while request_json("GET", f"http://{caller}/services/echo/")[0] != 200:
         if time.monotonic() > deadline:
-            raise TimeoutError("the service does not answer")
+            raise TimeoutError("the service does not reply")
         time.sleep(0.1)
 
 
 def measure() -> Costs:
-    """Returns the costs of both ways."""
+    """Measures the costs of both paths."""
     with open_small_cluster() as cluster:
         caller = cluster.entries["entry-0"].caller
-        through_url = f"http://{caller}/services/echo/shelf"
-        _, body = ask("GET", f"http://{caller}/services/echo/")
+        entry_url = f"http://{caller}/services/echo/shelf"
+        _, body = request_json("GET", f"http://{caller}/services/echo/")
         target = _target_address(cluster)
-        straight_url = f"http://{target}/shelf"
-        straight = through = 0.0
+        direct_url = f"http://{target}/shelf"
+        direct = via_entry = 0.0
         with httpcore.ConnectionPool() as pool:
             for _ in range(_ROUNDS):
-                straight += _cost(cluster, pool, straight_url)
-                through += _cost(cluster, pool, through_url)
+                direct += _cost(cluster, pool, direct_url)
+                via_entry += _cost(cluster, pool, entry_url)
         requests = _ROUNDS * _REQUESTS / 1000
         assert body["service"] == "echo"
         return Costs(
-            straight / requests, through / requests, through / straight
+            direct / requests, via_entry / requests, via_entry / direct
         )
 
 
@@ -94,7 +95,7 @@
 
 
 def _cost(cluster: Cluster, pool: httpcore.ConnectionPool, url: str) -> float:
-    """Returns the processor seconds that a round of requests takes."""
+    """Returns the processor seconds of a round of requests."""
     headers = [(SERVICE, b"echo")]
     before = _used(cluster)
     for _ in range(_REQUESTS):
@@ -112,9 +113,9 @@
 
 
 def main() -> int:
-    """Prints the costs; returns 1 if the bound is missed."""
+    """Prints the costs; returns 1 if the bound is exceeded."""
     costs = measure()
-    print(f"straight to the target: {costs.straight:.3f} ms of CPU a request")
-    print(f"through an entry VM:    {costs.through:.3f} ms of CPU a request")
+    print(f"direct to the target: {costs.direct:.3f} ms of CPU a request")
+    print(f"through an entry VM:  {costs.via_entry:.3f} ms of CPU a request")
     print(f"ratio {costs.ratio:.2f}, bound {BOUND}")
     return 0 if costs.ratio <= BOUND else 1
--- a/bench/rounds/__init__.py
+++ b/bench/rounds/__init__.py
@@ -1,1 +1,1 @@
-"""Compares two commits on the same days of the users' deployments."""
+"""Compares two commits on the same simulated days of users' deployments."""
--- a/bench/rounds/causes.py
+++ b/bench/rounds/causes.py
@@ -1,7 +1,7 @@
-"""`python -m bench causes LOG`: why jobs took long, added up over a day.
+"""Implements `python -m bench causes LOG`, a summary of why jobs were late.
 
-Counts the jobs that took more than twice as long as they worked or came to
-nothing, by what `explain` names as the cause, with the work that they held.
+Counts the jobs that did not complete or took more than twice as long as they
+worked, by the cause that `explain` gives, and sums the work they requested.
 """
 
 from collections import defaultdict
@@ -16,22 +16,23 @@
 from pimentocross.cli.story import Diagnosis, Span, diagnose
 from pimentocross.work.spec import StepSpec
 
-# Objectives are between 1.5 and 2.2 times the work; a second is allowed each.
+# Objectives of jobs are between 1.5 and 2.2 times their work. A second more is
+# allowed for each job.
 _LATE_FACTOR: Final = 2.0
-_ALLOWED: Final = 1.0
-# What differs from job to job of one cause.
+_ALLOWED_SECONDS: Final = 1.0
+# Parts of a cause that differ between jobs with the same cause.
 _NUMBERS: Final = re.compile(r"\d+(\.\d+)?")
 _IMAGE: Final = re.compile(r"image \S+")
 
 
 class Row(NamedTuple):
-    """A cause, and the jobs that had it.
+    """A cause and its jobs.
 
     Attributes:
         kind: "fills" or "short".
-        cause: As `explain` words it, without its numbers.
-        jobs: How many.
-        work: Core-seconds that they asked for, by their estimates.
+        cause: The cause that `explain` gives, without numbers.
+        jobs: Number of jobs.
+        work: Core-seconds that the jobs requested, by their estimates.
     """
 
     kind: str
@@ -54,12 +55,12 @@
 
 
 def causes(lines: Sequence[LogLine]) -> list[Row]:
-    """Returns the causes of late and lost jobs, most work first."""
+    """Returns the causes of late and failed jobs, most work first."""
     found: dict[tuple[str, str], list[_Job]] = defaultdict(list)
     for job in _jobs(lines):
         diagnosis = diagnose(lines, job.name)
         if _is_late(diagnosis):
-            found[(job.kind, _wording(diagnosis))].append(job)
+            found[(job.kind, _normalized_cause(diagnosis))].append(job)
     rows = [
         Row(kind, cause, len(jobs), sum(job.work for job in jobs))
         for (kind, cause), jobs in found.items()
@@ -68,7 +69,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Prints the table of a log file."""
+    """Prints a table for each of the log files."""
     for name in arguments:
         rows = causes(read_lines(Path(name).read_text()))
         print(f"{Path(name).stem}: kind, jobs, core-seconds, cause")
@@ -78,7 +79,7 @@
 
 
 def _jobs(lines: Iterable[LogLine]) -> list[_Job]:
-    """Returns the jobs that end by themselves, as they were accepted."""
+    """Returns the accepted jobs without lasting tasks."""
     found: dict[str, _Job] = {}
     for line in lines:
         if line.kind != "job_accepted":
@@ -95,12 +96,12 @@
         return False
     if diagnosis.outcome != "completed":
         return True
-    whole = sum(part.seconds for part in diagnosis.parts)
+    total = sum(part.seconds for part in diagnosis.parts)
     worked = sum(p.seconds for p in diagnosis.parts if p.span is Span.WORKED)
-    return whole > _LATE_FACTOR * worked + _ALLOWED
+    return total > _LATE_FACTOR * worked + _ALLOWED_SECONDS
 
 
-def _wording(diagnosis: Diagnosis) -> str:
+def _normalized_cause(diagnosis: Diagnosis) -> str:
     _, _, cause = diagnosis.cause.rpartition(" s ")
-    alike = _IMAGE.sub("its image", cause or diagnosis.cause)
-    return _NUMBERS.sub("N", alike)
+    normalized = _IMAGE.sub("its image", cause or diagnosis.cause)
+    return _NUMBERS.sub("N", normalized)
--- a/bench/rounds/command.py
+++ b/bench/rounds/command.py
@@ -1,4 +1,4 @@
-"""`python -m bench rounds`: two commits on the same days, paired."""
+"""Implements `python -m bench rounds`, a paired comparison of two commits."""
 
 from collections.abc import Iterable, Sequence
 from concurrent.futures import ThreadPoolExecutor
@@ -9,17 +9,17 @@
 import typer
 
 from bench.rounds.compare import difference
-from bench.rounds.plays import (
+from bench.rounds.day_runs import (
     MIXED_DAY,
+    DayRun,
+    DayRunError,
     Figures,
-    Play,
-    PlayError,
-    play_day,
+    run_day,
 )
 from bench.rounds.trees import Trees, commit_of
 
 _REPOSITORY: Final = Path(__file__).resolve().parents[2]
-# Days of trouble count most for users; calm ones can be named one by one.
+# Users care most about days with trouble, so calm days are left out.
 _SLOTS: Final = ("scale", "trouble")
 _FIGURES: Final = (
     "worth",
@@ -37,7 +37,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Runs the command; returns 1 if a day could not be played."""
+    """Runs the command; returns 1 if a day could not be run."""
     app = typer.Typer()
     app.command()(_rounds)
     return int(app(arguments, standalone_mode=False) or 0)
@@ -49,51 +49,53 @@
         Path, typer.Option(envvar="FLEETBENCH", help="The users' bench.")
     ],
     commit: Annotated[
-        str, typer.Option(help='What is judged; "." is the tree as it stands.')
+        str, typer.Option(help='Tested commit; "." is the current work tree.')
     ] = ".",
-    against: Annotated[str, typer.Option(help="Commit to compare to.")] = "",
+    against: Annotated[str, typer.Option(help="Commit to compare with.")] = "",
     without: Annotated[
-        str, typer.Option(help="Mechanism to switch off in what is judged.")
+        str, typer.Option(help="Mechanism to disable in the tested commit.")
     ] = "",
-    seeds: Annotated[int, typer.Option(help="Mixed days a site.")] = 8,
-    first_seed: Annotated[int, typer.Option(help="Seed of the first.")] = 1,
+    seeds: Annotated[int, typer.Option(help="Mixed days per site.")] = 8,
+    first_seed: Annotated[
+        int, typer.Option(help="Seed of the first mixed day.")
+    ] = 1,
     standard: Annotated[
-        bool, typer.Option(help="Also the standard days with trouble.")
+        bool, typer.Option(help="Also run the standard days with trouble.")
     ] = True,
-    jobs: Annotated[int, typer.Option(help="Days played at a time.")] = 7,
+    jobs: Annotated[int, typer.Option(help="Days run in parallel.")] = 7,
     folder: Annotated[
-        Path, typer.Option(help="Where trees and reports are kept.")
+        Path, typer.Option(help="Folder of work trees and reports.")
     ] = _REPOSITORY.parent / "trials",
 ) -> int:
-    """Plays the same days on one or two commits and prints differences."""
+    """Runs the same days on one or two commits and prints the differences."""
     reports = (folder / "reports").resolve()
     reports.mkdir(parents=True, exist_ok=True)
     trees = Trees(_REPOSITORY, folder.resolve(), jobs)
-    judged = commit_of(_REPOSITORY, commit)
-    versions = [(judged, without)]
+    tested = commit_of(_REPOSITORY, commit)
+    versions = [(tested, without)]
     if against:
         versions.insert(0, (commit_of(_REPOSITORY, against), ""))
     elif without:
-        versions.insert(0, (judged, ""))
+        versions.insert(0, (tested, ""))
     failed = False
     for site in sites:
         days = _days(site.resolve(), seeds, first_seed, standard)
-        plays = [
-            Play(version, off, site.resolve(), day, seed)
-            for version, off in versions
+        planned_runs = [
+            DayRun(version, disabled, site.resolve(), day, seed)
+            for version, disabled in versions
             for day, seed in days
         ]
 
-        def one(play: Play) -> Figures | PlayError:
+        def run_or_error(day_run: DayRun) -> Figures | DayRunError:
             try:
-                with trees.at(play.commit, play.without) as tree:
-                    return play_day(program.resolve(), tree, play, reports)
-            except PlayError as error:
+                with trees.checked_out(day_run.commit, day_run.without) as tree:
+                    return run_day(program.resolve(), tree, day_run, reports)
+            except DayRunError as error:
                 return error
 
         with ThreadPoolExecutor(jobs) as pool:
-            found = list(pool.map(one, plays))
-        failed |= _print_site(site.stem, plays, found, len(versions))
+            found = list(pool.map(run_or_error, planned_runs))
+        failed |= _print_site(site.stem, planned_runs, found, len(versions))
     return int(failed)
 
 
@@ -110,33 +112,35 @@
 
 def _print_site(
     site: str,
-    plays: Sequence[Play],
-    found: Sequence[Figures | PlayError],
+    planned_runs: Sequence[DayRun],
+    found: Sequence[Figures | DayRunError],
     versions: int,
 ) -> bool:
-    """Prints a site's days; returns True if one could not be played."""
-    rows = len(plays) // versions
+    """Prints the days of a site; returns whether one could not be run."""
+    rows = len(planned_runs) // versions
     pairs = []
     failed = False
-    print(f"{site}: {' against '.join(_names(plays, rows))}")
+    print(f"{site}: {' against '.join(_names(planned_runs, rows))}")
     for row in range(rows):
         played = found[row::rows]
-        errors = [one for one in played if isinstance(one, PlayError)]
+        errors = [one for one in played if isinstance(one, DayRunError)]
         figures = [one for one in played if isinstance(one, Figures)]
         if errors:
             failed = True
-            print(f"  {plays[row].label}: not played: {errors[0]}")
+            print(f"  {planned_runs[row].label}: not run: {errors[0]}")
             continue
         pairs.append(figures)
-        print(f"  {plays[row].label:16} {_line(figures)}")
+        print(f"  {planned_runs[row].label:16} {_line(figures)}")
     if pairs:
-        _print_whole(pairs)
+        _print_means(pairs)
     return failed
 
 
-def _names(plays: Sequence[Play], rows: int) -> Iterable[str]:
-    for play in plays[::-rows] if rows else ():
-        yield play.commit[:10] + (play.without and f" without {play.without}")
+def _names(planned_runs: Sequence[DayRun], rows: int) -> Iterable[str]:
+    for day_run in planned_runs[::-rows] if rows else ():
+        yield day_run.commit[:10] + (
+            day_run.without and f" without {day_run.without}"
+        )
 
 
 def _line(figures: Sequence[Figures]) -> str:
@@ -150,7 +154,7 @@
     return "  ".join(columns)
 
 
-def _print_whole(pairs: Sequence[Sequence[Figures]]) -> None:
+def _print_means(pairs: Sequence[Sequence[Figures]]) -> None:
     for name in _FIGURES:
         columns = [
             [float(getattr(one[version], name)) for one in pairs]
@@ -161,5 +165,5 @@
         if len(columns) > 1:
             delta = difference(columns[0], columns[-1])
             text += f"  {delta.mean:+.3f} [{delta.low:+.3f}, {delta.high:+.3f}]"
-            text += "" if delta.told_from_luck else " (not told from luck)"
+            text += "" if delta.is_significant else " (not significant)"
         print(text)
--- a/bench/rounds/compare.py
+++ b/bench/rounds/compare.py
@@ -1,4 +1,4 @@
-"""Differences between two series of the same days, with their intervals."""
+"""Computes paired differences and their bootstrap confidence intervals."""
 
 from collections.abc import Sequence
 from typing import Final, NamedTuple
@@ -13,13 +13,13 @@
 
 
 class Difference(NamedTuple):
-    """A mean difference over pairs and its bootstrap interval.
+    """A mean difference of pairs and its bootstrap confidence interval.
 
     Attributes:
-        mean: After less before.
-        low: Lower end of the 95 % interval.
-        high: Upper end.
-        pairs: How many pairs it is taken from.
+        mean: Mean of the values after minus those before.
+        low: Lower end of the 95 % confidence interval.
+        high: Upper end of the 95 % confidence interval.
+        pairs: Number of pairs.
     """
 
     mean: float
@@ -28,17 +28,17 @@
     pairs: int
 
     @property
-    def told_from_luck(self) -> bool:
-        """True if the interval leaves out 0."""
+    def is_significant(self) -> bool:
+        """Returns whether the confidence interval excludes 0."""
         return self.low > 0 or self.high < 0
 
 
 def difference(before: Sequence[float], after: Sequence[float]) -> Difference:
-    """Returns the mean difference of pairs.
+    """Returns the mean difference of paired values.
 
     Args:
-        before: A figure of each day.
-        after: The same figure of the same days, in the same order.
+        before: One value per day.
+        after: The other value of each day, in the same order.
     """
     deltas = np.array(after, dtype=float) - np.array(before, dtype=float)
     mean = float(deltas.mean())
--- a/bench/rounds/plays.py
+++ b/bench/rounds/day_runs.py
@@ -1,4 +1,4 @@
-"""Plays one day of a deployment and reads what it was worth."""
+"""Runs a simulated day of a deployment and reads its report."""
 
 import json
 import os
@@ -6,21 +6,21 @@
 import subprocess
 from typing import Any, Final, NamedTuple
 
-# Names a day that the users' program makes up from the site's troubles.
+# Name of a day that the users' program generates from the site's faults.
 MIXED_DAY: Final = "mix"
-# A day takes a minute of one core; a busy machine several times that.
-_PLAY_MOST: Final = 900.0
+# Seconds. A day takes a minute of one core, and several on a busy computer.
+_DAY_TIMEOUT: Final = 900.0
 
 
-class Play(NamedTuple):
-    """What is played.
+class DayRun(NamedTuple):
+    """A day to run on a commit.
 
     Attributes:
         commit: Full id of the commit.
-        without: Mechanism that is switched off, or "".
+        without: Name of the disabled mechanism, or "".
         site: Path of the site file.
         day: Name of a day in it, `MIXED_DAY`, or path of a day file.
-        seed: What the day's luck is drawn from; None for the day's own.
+        seed: Random seed; None for the one given in the day.
     """
 
     commit: str
@@ -31,34 +31,34 @@
 
     @property
     def label(self) -> str:
-        """Names the day and its luck."""
+        """Returns the name of the day and its seed."""
         day = Path(self.day).stem
         return day if self.seed is None else f"{day}/{self.seed}"
 
     @property
     def file_name(self) -> str:
-        """Names the file that its report is kept in."""
+        """Returns the name of the report file."""
         parts = [self.commit[:12], self.without or "whole", self.site.stem]
         return "-".join([*parts, self.label.replace("/", "-")]) + ".json"
 
 
 class Figures(NamedTuple):
-    """What a day came to.
+    """Results of a day, from its report.
 
     Attributes:
-        worth: What was earned of what was owed, less prices.
-        served: The same over the whole day, before prices.
-        worst_kind: The same of the worst kind of request.
-        kinds: The same of each kind, in the site's order.
-        p50: Half of the jobs of the first kind ended within this, ms.
-        p99: 99 of 100 of them did.
+        worth: Share of the possible value that was earned, less prices.
+        served: The same share over the day, before prices.
+        worst_kind: Lowest share of a kind of request.
+        kinds: Share of each kind of request, in the site's order.
+        p50: Median duration of jobs of the first kind, in milliseconds.
+        p99: 99th percentile of these durations, in milliseconds.
         in_time: Jobs of the second kind that met their objective.
-        over_target: Seconds of serving tasks over their target.
-        over_by_others: Of these, seconds caused by what fills beside them.
-        stopped: Runs that were stopped.
-        done: Runs that ended well.
-        thrown_away: Core-seconds of work done for nothing.
-        broken: Rules that were broken, by name.
+        over_target: Seconds during which serving tasks exceeded their target.
+        over_by_others: The part of it caused by best-effort neighbours.
+        stopped: Number of runs that were stopped.
+        done: Number of runs that succeeded.
+        thrown_away: Core-seconds of work that was lost.
+        broken: Names of the rules that were violated.
     """
 
     worth: float
@@ -76,35 +76,37 @@
     broken: tuple[str, ...]
 
 
-class PlayError(Exception):
-    """A day could not be played; says what the program printed."""
+class DayRunError(Exception):
+    """A day could not be run; the message ends with the program's output."""
 
 
-def play_day(program: Path, tree: Path, play: Play, reports: Path) -> Figures:
-    """Plays a day in a tree that is at its commit, unless it was played.
+def run_day(
+    program: Path, tree: Path, day_run: DayRun, reports: Path
+) -> Figures:
+    """Runs a day and returns its results; reuses the report if there is one.
 
     Args:
         program: The users' bench.
-        tree: Work tree at the play's commit.
-        play: What to play.
+        tree: Work tree at the commit of the run.
+        day_run: Day to run.
         reports: Folder of the reports.
 
     Raises:
-        PlayError: If it could not be played.
+        DayRunError: If the program wrote no report.
     """
-    report = reports / play.file_name
+    report = reports / day_run.file_name
     if not report.exists():
-        _run(program, tree, play, report)
+        _run(program, tree, day_run, report)
     return read_figures(json.loads(report.read_text()))
 
 
-def _run(program: Path, tree: Path, play: Play, report: Path) -> None:
-    command = [str(program), "run", str(play.site), play.day]
-    if play.seed is not None:
-        command += ["--seed", str(play.seed)]
-    why = f"round: {play.commit[:10]} {play.without and 'without '}"
+def _run(program: Path, tree: Path, day_run: DayRun, report: Path) -> None:
+    command = [str(program), "run", str(day_run.site), day_run.day]
+    if day_run.seed is not None:
+        command += ["--seed", str(day_run.seed)]
+    why = f"round: {day_run.commit[:10]} {day_run.without and 'without '}"
     command += ["--no-cpu", "--jobs", "1", "--report", str(report)]
-    command += ["--why", f"{why}{play.without}, {play.label}"]
+    command += ["--why", f"{why}{day_run.without}, {day_run.label}"]
     environment = {**os.environ, "GIT_OPTIONAL_LOCKS": "0"}
     done = subprocess.run(
         command,
@@ -112,17 +114,17 @@
         env=environment,
         capture_output=True,
         text=True,
-        timeout=_PLAY_MOST,
+        timeout=_DAY_TIMEOUT,
         check=False,
     )
     if not report.exists():
-        raise PlayError(
-            f"{play.label}: {done.stdout[-400:]}{done.stderr[-400:]}"
+        raise DayRunError(
+            f"{day_run.label}: {done.stdout[-400:]}{done.stderr[-400:]}"
         )
 
 
 def read_figures(report: dict[str, Any]) -> Figures:
-    """Reads the figures from a day's report."""
+    """Returns the results in the report of a day."""
     kinds = report["classes"]
     runs, over = _hints(report["hints"])
     prices = {name: amount for name, amount, _ in report["prices"]}
@@ -144,7 +146,7 @@
 
 
 def _hints(lines: list[str]) -> tuple[dict[str, int], tuple[float, float]]:
-    """Reads the counts that a report gives in sentences."""
+    """Returns the counts of runs and the seconds over target from sentences."""
     runs: dict[str, int] = {}
     over = (0.0, 0.0)
     for line in lines:
--- a/bench/target.py
+++ b/bench/target.py
@@ -1,4 +1,4 @@
-"""What the slopes come to at the users' target size."""
+"""Computes the costs at the users' target size from the measured slopes."""
 
 from pathlib import Path
 import statistics
@@ -22,10 +22,10 @@
 BYTES_BOUND = 6_000.0
 MEMORY_BOUND = 256e6
 
-# Design: cells of about 47 workers, three entry VMs in each zone.
+# Cells of about 47 workers, and three entry VMs in each zone.
 CELLS = 92
 ENTRIES = 69
-# Of a whole process with all libraries, as `python -m bench idle` shows it.
+# Bytes of a process with all libraries, from `python -m bench idle`.
 BASE_MEMORY = 57e6
 BUSY_INTERVAL = 1.0
 IDLE_INTERVAL = 2.0
@@ -35,10 +35,10 @@
 
 
 def exchange_seconds() -> float:
-    """Returns this side's processor time of one exchange with a worker.
+    """Returns the owner's processor time for an exchange with a worker.
 
-    From the committed run of `python -m bench idle`: what a process that owns
-    one cell of 8 workers spends beyond one that owns none.
+    The committed output of `python -m bench idle` gives the difference between
+    a process that owns one cell of 8 workers and one that owns none.
     """
     shares: dict[str, list[float]] = {"0": [], "1": []}
     for row in _IDLE_RUN.read_text().splitlines():
@@ -50,13 +50,13 @@
 
 
 class Line(NamedTuple):
-    """One line of the page.
+    """A line of the table in `docs/CAPACITY.md`.
 
     Attributes:
-        what: Role and cost.
-        value: At the target size.
-        unit: Of the value.
-        bound: What it may be, or None.
+        what: Role and kind of cost.
+        value: Cost at the target size.
+        unit: Unit of the value.
+        bound: Upper limit of the value, or None.
     """
 
     what: str
@@ -65,15 +65,15 @@
     bound: float | None
 
     @property
-    def carried(self) -> str:
-        """Whether today's code carries it."""
+    def within_bound(self) -> str:
+        """Returns "yes" or "NO" for the bound, or "-" if there is none."""
         if self.bound is None:
             return "-"
         return "yes" if self.value <= self.bound else "NO"
 
 
 def lines(slopes: dict[str, Slope]) -> list[Line]:
-    """Returns the lines of all roles."""
+    """Returns the costs of all roles."""
     return [
         *_member_lines(slopes),
         *_owner_lines(slopes),
@@ -85,19 +85,27 @@
 
 
 def _member_lines(slopes: dict[str, Slope]) -> list[Line]:
-    beats = (ENTRIES - 1) * 2.0
-    near = (ENTRIES / REGIONS - 1) * 2.0 + (REGIONS - 1) * 2.0
+    heartbeats = (ENTRIES - 1) * 2.0
+    region_heartbeats = (ENTRIES / REGIONS - 1) * 2.0 + (REGIONS - 1) * 2.0
     size = slopes["heartbeat, by targets in flight"].at(0)
     cost = slopes["a question to a peer, both ends, by questions"].each / 2e6
     return [
-        Line("member, full mesh: bytes", beats * size, "B/s", BYTES_BOUND),
-        Line("member, full mesh: processor", beats * cost * 100, "% core", 1.6),
+        Line("member, full mesh: bytes", heartbeats * size, "B/s", BYTES_BOUND),
         Line(
-            "member, region and 7 links: bytes", near * size, "B/s", BYTES_BOUND
+            "member, full mesh: processor",
+            heartbeats * cost * 100,
+            "% core",
+            1.6,
+        ),
+        Line(
+            "member, region and 7 links: bytes",
+            region_heartbeats * size,
+            "B/s",
+            BYTES_BOUND,
         ),
         Line(
             "member, region and 7 links: processor",
-            near * cost * 100,
+            region_heartbeats * cost * 100,
             "% core",
             1.6,
         ),
@@ -116,9 +124,9 @@
     decisions = STARTS_A_SECOND / ENTRIES
     exchanges = workers / BUSY_INTERVAL * exchange_seconds()
     jobs = slopes["memory of open jobs, by jobs"].each
-    held = slopes["memory of commitments, by tasks"].each
+    commitment = slopes["memory of commitments, by tasks"].each
     own_tasks = (BATCH_TASKS + LATENCY_TASKS) / ENTRIES
-    memory = BASE_MEMORY + own_tasks * (jobs + held)
+    memory = BASE_MEMORY + own_tasks * (jobs + commitment)
     return [
         Line("worker: bytes of its link", per_worker, "B/s", BYTES_BOUND),
         Line("cell owner: workers", workers, "", None),
@@ -144,23 +152,23 @@
 
 
 def _caller_lines(slopes: dict[str, Slope]) -> list[Line]:
-    told = slopes["targets told, by targets"].each
+    bytes_per_target = slopes["targets told, by targets"].each
     return [
         Line(
             "caller side: all targets told once",
-            told * LATENCY_TASKS,
+            bytes_per_target * LATENCY_TASKS,
             "B",
             None,
         ),
         Line(
             "caller side: targets of one region",
-            told * LATENCY_TASKS / REGIONS,
+            bytes_per_target * LATENCY_TASKS / REGIONS,
             "B",
             None,
         ),
         Line(
             "caller side: targets told at each change of a cell",
-            told * LATENCY_TASKS / CELLS,
+            bytes_per_target * LATENCY_TASKS / CELLS,
             "B",
             None,
         ),
@@ -190,7 +198,8 @@
 def _log_lines(slopes: dict[str, Slope]) -> list[Line]:
     ends = slopes["appends for ends at 100/s, by ends"].each
     per_cell = STARTS_A_SECOND / CELLS
-    # The linger bounds one cell's appends, however many ends there are.
+    # The writer's linger limits the appends of a cell, whatever the number of
+    # ends.
     end_appends = min(ends * 100, per_cell) * CELLS
     accepts = JOBS_A_DAY / DAY * 10
     members = (FAILURES_A_DAY + RESTARTS_A_DAY) * 4 / DAY
@@ -229,8 +238,8 @@
 
 
 def _failure_lines(slopes: dict[str, Slope]) -> list[Line]:
-    told = slopes["targets told, by targets"].each
-    shared = told * LATENCY_TASKS + TEAMS * 1_000.0
+    bytes_per_target = slopes["targets told, by targets"].each
+    shared = bytes_per_target * LATENCY_TASKS + TEAMS * 1_000.0
     fold = slopes["folding a job's records, by jobs"].each
     jobs = BATCH_TASKS / CELLS
     rack = 8 * (BATCH_TASKS + LATENCY_TASKS) / WORKERS
@@ -268,11 +277,11 @@
 
 
 def print_lines(found: list[Line]) -> None:
-    """Prints the lines as a table."""
+    """Prints the costs as a table."""
     print("what | at the target | unit | bound | carried today")
     for line in found:
         bound = "-" if line.bound is None else f"{line.bound:g}"
         print(
             f"{line.what} | {line.value:.4g} | {line.unit} | {bound} |"
-            f" {line.carried}"
+            f" {line.within_bound}"
         )
--- a/bench/wire_parts.py
+++ b/bench/wire_parts.py
@@ -1,6 +1,6 @@
-"""The parts of an owner's input and output, one by one.
+"""Measures single parts of an owner's I/O: calls, listings and records.
 
-All figures are milliseconds of the owner's thread.
+All results are in milliseconds of the owner thread's CPU time.
 """
 
 from collections.abc import Callable
@@ -15,9 +15,9 @@
 from bench.large_jobs import (
     QUEUE,
     TimeByTask,
-    filling_job,
-    lasting_job,
+    best_effort_job,
     quick_job,
+    serving_job,
 )
 from pimentocross.contracts.worker_link import (
     Ending,
@@ -52,36 +52,39 @@
 from pimentocross.work.state import Job, Run, RunState, Task
 
 _CALLS: Final = 1_000
-# The least of some rounds is told: others use this machine as well.
+# The minimum of the rounds is reported, as other processes slow down some.
 _ROUNDS: Final = 5
-_MS: Final = 1000.0
-_LEASE: Final = 5.0
+_MS_PER_SECOND: Final = 1000.0
+_LEASE_SECONDS: Final = 5.0
 _TIMEOUT: Final = 5.0
-_KEPT: Final = 150.0
-_WIDE = StepSpec(20, Size(1_000, 1_000, 0))
+_ENDED_JOB_RETENTION: Final = 150.0
+_WIDE_STEP = StepSpec(20, Size(1_000, 1_000, 0))
 
 
-class _NoStops:
+class _NoRunStopper:
     def stop(self, *_: object) -> None:
-        """Stops nothing."""
+        """Does nothing."""
 
     def stop_unknown(self, *_: object) -> None:
-        """Stops nothing."""
+        """Does nothing."""
 
     def start_again(self, *_: object) -> None:
-        """Repeats nothing."""
+        """Does nothing."""
 
 
 class _NoRestarts:
     def note_born(self, *_: object) -> None:
-        """Has nothing to note."""
+        """Does nothing."""
 
     def note_replaced(self, *_: object) -> None:
-        """Has nothing to note."""
+        """Does nothing."""
 
 
-class _ListedAgain:
-    """A link whose worker lists the same again; counts the listings."""
+class _UnchangedListingLink:
+    """A worker link that always returns the same listing.
+
+    Sets `done` after a number of calls.
+    """
 
     def __init__(self, reply: HoldReply, calls: int) -> None:
         self._reply = reply
@@ -89,7 +92,7 @@
         self.done = trio.Event()
 
     async def hold(self, *_: object) -> HoldReply:
-        """Lists the same."""
+        """Returns the listing."""
         await trio.lowlevel.checkpoint()
         self._left -= 1
         if not self._left:
@@ -98,15 +101,18 @@
         return self._reply
 
 
-def make_listed(
+def make_running_tasks(
     book: JobRegistry, runs: int
 ) -> tuple[WorkerLife, list[tuple[Task, Run]]]:
-    """Returns a worker's life and running tasks of all three kinds."""
+    """Returns a worker life and running tasks.
+
+    A third of the tasks each are serving, best-effort and short.
+    """
     tasks: list[Task] = []
     kinds = [
-        ("serve", lasting_job(0), runs // 6),
-        ("serve2", lasting_job(1), runs // 6),
-        ("fill", filling_job(0), runs - 2 * (runs // 6) - runs // 3),
+        ("serve", serving_job(0), runs // 6),
+        ("serve2", serving_job(1), runs // 6),
+        ("fill", best_effort_job(0), runs - 2 * (runs // 6) - runs // 3),
         ("quick", quick_job(), runs // 3),
     ]
     for name, spec, count in kinds:
@@ -123,8 +129,8 @@
     return wire_workers.lives(1, "127.0.0.1:9")[0], found
 
 
-def body_of(tasks: list[tuple[Task, Run]]) -> bytes:
-    """Returns a listing of running tasks as the platform spells it."""
+def encode_listing(tasks: list[tuple[Task, Run]]) -> bytes:
+    """Returns a listing of running tasks in the platform's wire format."""
     return msgspec.json.encode(
         {
             "clock_ms": 1_000_000,
@@ -143,19 +149,19 @@
     )
 
 
-def make_parts(
+def make_owner_context(
     book: JobRegistry,
     ledger: Ledger,
     on_ending: Callable[[Worker, Task, Run | None, Ending], None],
     listed: Callable[[Worker], None],
 ) -> OwnerContext:
-    """Returns what the parts of an owner of one worker share."""
+    """Returns the shared context of an owner with one worker."""
     lateness = LoopLateness()
     return OwnerContext(
         1,
-        OwnerTerms(_LEASE),
-        CallTimeouts(lateness, _LEASE),
-        ListingPace(lateness, _LEASE, lambda: 1),
+        OwnerTerms(_LEASE_SECONDS),
+        CallTimeouts(lateness, _LEASE_SECONDS),
+        ListingPace(lateness, _LEASE_SECONDS, lambda: 1),
         book,
         ledger,
         lambda: None,
@@ -165,44 +171,46 @@
         lambda _: True,
         _NoRestarts(),
         LateStarts(book, ledger, lambda: None, ResentStarts(1, None, ledger)),
-        FormerLeases(1, (), OwnerTerms(_LEASE), ledger, quiet=True),
+        FormerLeases(1, (), OwnerTerms(_LEASE_SECONDS), ledger, quiet=True),
     )
 
 
-async def measure_taking_in(runs: int) -> tuple[float, float]:
-    """Returns what decoding and taking in of an unchanged listing cost."""
+async def measure_processing(runs: int) -> tuple[float, float]:
+    """Measures the decoding and the processing of an unchanged listing."""
     ledger = Ledger(StoreStandin().client("a"), "jobs", "owner", 1)
-    book = JobRegistry(ledger, _KEPT)
-    life, tasks = make_listed(book, runs)
-    body = body_of(tasks)
-    decoding = _time_of(lambda: read_hold(body))
-    link = _ListedAgain(read_hold(body), _CALLS)
+    book = JobRegistry(ledger, _ENDED_JOB_RETENTION)
+    life, tasks = make_running_tasks(book, runs)
+    body = encode_listing(tasks)
+    decoding = _time_call(lambda: read_hold(body))
+    link = _UnchangedListingLink(read_hold(body), _CALLS)
     worker = Worker(life, 0, link)  # type: ignore[arg-type]
     for task, run in tasks:
         worker.add(task, run)
     learned = LearnedEstimates()
-    parts = make_parts(book, ledger, learned.on_ending, learned.on_listed)
+    parts = make_owner_context(
+        book, ledger, learned.on_ending, learned.on_listed
+    )
     began = time.thread_time()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(LeaseKeeper(worker, parts, _NoStops()).run)
+        nursery.start_soon(LeaseKeeper(worker, parts, _NoRunStopper()).run)
         await link.done.wait()
         nursery.cancel_scope.cancel()
-    return decoding, (time.thread_time() - began) / _CALLS * _MS
+    return decoding, (time.thread_time() - began) / _CALLS * _MS_PER_SECOND
 
 
-def _time_of(function: Callable[[], object]) -> float:
-    """Returns milliseconds of one call, the least of some rounds."""
+def _time_call(function: Callable[[], object]) -> float:
+    """Returns the milliseconds of a call, the minimum of several rounds."""
     rounds = []
     for _ in range(_ROUNDS):
         began = time.thread_time()
         for _ in range(_CALLS // _ROUNDS):
             function()
         rounds.append(time.thread_time() - began)
-    return min(rounds) / (_CALLS // _ROUNDS) * _MS
+    return min(rounds) / (_CALLS // _ROUNDS) * _MS_PER_SECOND
 
 
 async def measure_calls(workers_at: str) -> dict[str, float]:
-    """Returns what a link's calls cost the caller."""
+    """Returns the owner's costs of the calls to a worker, by call."""
     link = HttpWorker(wire_workers.lives(1, workers_at)[0])
     name = TaskName("other-5c0e7a21d94b36f8", 0, 0, 0)
     reply = await link.hold(1, 0, None, 0.0, _TIMEOUT)
@@ -213,17 +221,17 @@
     began = time.thread_time()
     for _ in range(_CALLS):
         await link.start(order, _TIMEOUT)
-    costs["start"] = (time.thread_time() - began) / _CALLS * _MS
+    costs["start"] = (time.thread_time() - began) / _CALLS * _MS_PER_SECOND
     began = time.thread_time()
     for _ in range(_CALLS):
         await link.stop(name, 1, 1, _TIMEOUT)
-    costs["stop"] = (time.thread_time() - began) / _CALLS * _MS
+    costs["stop"] = (time.thread_time() - began) / _CALLS * _MS_PER_SECOND
     await link.aclose()
     return costs
 
 
 async def measure_hold(body: bytes) -> float:
-    """Returns what a call that gets a listing costs, decoding included."""
+    """Returns the owner's cost of a call for a listing, with its decoding."""
 
     async def answer(_: HttpRequest) -> HttpReply:
         headers = [
@@ -232,7 +240,7 @@
         ]
         return HttpReply(200, headers, body)
 
-    # The server's tasks are known by their names, and left out.
+    # Only the task of the calling side is counted, not those of the server.
     timed = TimeByTask()
     async with trio.open_nursery() as nursery:
         listener = HttpListener(answer, ListenerLimits)
@@ -243,7 +251,7 @@
         trio.lowlevel.add_instrument(timed)
         nursery.start_soon(_hold_often, link, nursery.cancel_scope)
     trio.lowlevel.remove_instrument(timed)
-    return timed.used["bench.wire_parts._hold_often"] / _CALLS * _MS
+    return timed.used["bench.wire_parts._hold_often"] / _CALLS * _MS_PER_SECOND
 
 
 async def _hold_often(link: HttpWorker, scope: trio.CancelScope) -> None:
@@ -253,9 +261,13 @@
 
 
 def measure_records(spec: JobSpec) -> tuple[float, float]:
-    """Returns what an end of one of a job's tasks costs, and its record."""
+    """Measures marking a job as changed, and a change with its record.
+
+    Returns:
+        The milliseconds of both.
+    """
     ledger = Ledger(StoreStandin().client("a"), "jobs", "owner", 1)
-    book = JobRegistry(ledger, _KEPT)
+    book = JobRegistry(ledger, _ENDED_JOB_RETENTION)
     job = Job("fill-5c0e7a21d94b36f8", QUEUE, spec, 0.0)
     book.restore(job)
     for task in job.tasks():
@@ -267,30 +279,34 @@
         first.drop_run(2)
         records.encode_progress(job)
 
-    return _time_of(lambda: book.changed(job)), _time_of(change_and_encode)
+    return _time_call(lambda: book.changed(job)), _time_call(change_and_encode)
 
 
-def print_parts() -> None:
-    """Prints what listings and records cost, by their size."""
+def print_call_costs() -> None:
+    """Prints the costs of listings and records by size."""
     for runs in (0, 10, 30):
         ledger = Ledger(StoreStandin().client("a"), "jobs", "owner", 1)
-        call = trio.run(_call_of, ledger, runs)
-        taken = [trio.run(measure_taking_in, runs) for _ in range(_ROUNDS)]
-        decoding, taking_in = map(min, zip(*taken, strict=True))
+        call = trio.run(_measure_call, ledger, runs)
+        measured = [trio.run(measure_processing, runs) for _ in range(_ROUNDS)]
+        decoding, processing = map(min, zip(*measured, strict=True))
         print(
             f"listing of {runs} unchanged runs:"
             f" call {call - decoding:.3f}, decoding {decoding:.3f},"
-            f" taking in {taking_in:.3f}: {call + taking_in:.3f} ms"
+            f" processing {processing:.3f}: {call + processing:.3f} ms"
         )
-    for spec in (quick_job(), filling_job(0)):
+    for spec in (quick_job(), best_effort_job(0)):
         steps = [step.width for step in spec.steps]
         changed, encoded = measure_records(spec)
         print(f"job of {steps}: change {changed:.4f}, record {encoded:.4f} ms")
-    wide = JobSpec("", (_WIDE,), 50, 0.0, 1.0)
+    wide = JobSpec("", (_WIDE_STEP,), 50, 0.0, 1.0)
     changed, encoded = measure_records(wide)
     print(f"job of [20] * 50: change {changed:.4f}, record {encoded:.4f} ms")
 
 
-async def _call_of(ledger: Ledger, runs: int) -> float:
-    _, tasks = make_listed(JobRegistry(ledger, _KEPT), runs)
-    return min([await measure_hold(body_of(tasks)) for _ in range(_ROUNDS)])
+async def _measure_call(ledger: Ledger, runs: int) -> float:
+    _, tasks = make_running_tasks(
+        JobRegistry(ledger, _ENDED_JOB_RETENTION), runs
+    )
+    return min(
+        [await measure_hold(encode_listing(tasks)) for _ in range(_ROUNDS)]
+    )
--- a/bench/wire_workers.py
+++ b/bench/wire_workers.py
@@ -1,6 +1,6 @@
-"""Workers of a large cell in a process of their own, for the owner's cost.
+"""Serves stand-ins for the workers of a large cell in a separate process.
 
-What they use of the processor doesn't count as the owner's.
+Their processor time is thus not counted as the owner's.
 """
 
 from collections.abc import Iterator
@@ -28,12 +28,12 @@
 CAPACITY: Final = Size(64_000, 256_000, 0)
 _RACK: Final = 20
 _START_TIMEOUT: Final = 20.0
-# Every worker answers on the one listener: which of them is meant is in this.
+# All workers share a listener; this header names the addressed worker life.
 _LIFE_HEADER: Final = b"x-expected-instance"
 
 
 def lives(count: int, address: str) -> list[WorkerLife]:
-    """Returns workers that all answer at one address."""
+    """Returns worker lives that all have the same address."""
     return [
         WorkerLife(
             f"i-{number:08x}",
@@ -51,7 +51,7 @@
 
 
 def plan_of(name: TaskName) -> TaskPlan:
-    """Returns the plan of a task; its job's name says of what kind it is."""
+    """Returns the plan of a task; its job's name starts with its kind."""
     if name.job.startswith("last"):
         return TaskPlan(LASTS, Size(1, 1, 0))
     seconds = random.Random(str(name)).uniform(0.5, 1.5)
@@ -59,19 +59,19 @@
 
 
 class _Worker(TaskWorkerStandin):
-    """A stand-in that tells figures."""
+    """A worker stand-in that reports random load figures."""
 
     def figure(self, plan: TaskPlan) -> int:
-        """Returns a figure of a task that serves or fills."""
+        """Returns the figure of a serving or best-effort task."""
         return random.randint(10, 30)
 
 
-class _Surface(WorkerSurface):
-    """Answers `hold` when something has ended, without looking often."""
+class _LongPollSurface(WorkerSurface):
+    """Answers `hold` as soon as a task has ended, without frequent polling."""
 
     def __init__(self, worker: _Worker) -> None:
         super().__init__(worker)
-        self._changing = worker
+        self._changing_worker = worker
 
     async def _hold(self, body: dict[str, Any]) -> HttpReply:
         wait = body.pop("wait_ms", 0) / 1000
@@ -81,14 +81,18 @@
             left = until - trio.current_time()
             if left <= 0:
                 break
-            await trio.sleep(min(left, self._changing.next_change() + 0.01))
+            await trio.sleep(
+                min(left, self._changing_worker.next_change() + 0.01)
+            )
             reply = await super()._hold(body)
         return reply
 
 
-async def _serve(count: int, told: Connection) -> None:
+async def _serve(count: int, address_pipe: Connection) -> None:
     surfaces = {
-        life.id.encode(): _Surface(_Worker(life, plan_of, [], seed=number))
+        life.id.encode(): _LongPollSurface(
+            _Worker(life, plan_of, [], seed=number)
+        )
         for number, life in enumerate(lives(count, ""))
     }
 
@@ -100,30 +104,32 @@
         for handler in (handle, StoreSurface(StoreStandin()).handle):
             listener = HttpListener(handler, ListenerLimits)
             port = await nursery.start(listener.serve, f"{HOST}:0")
-            told.send(f"{HOST}:{port}")
+            address_pipe.send(f"{HOST}:{port}")
 
 
-def _run(count: int, told: Connection) -> None:
-    trio.run(_serve, count, told)
+def _run(count: int, address_pipe: Connection) -> None:
+    trio.run(_serve, count, address_pipe)
 
 
 @contextmanager
-def serving(count: int) -> Iterator[tuple[str, str]]:
+def serve_standins(count: int) -> Iterator[tuple[str, str]]:
     """Serves workers and a store; yields the addresses of both.
 
     Raises:
-        TimeoutError: They did not start.
+        TimeoutError: If the process does not start in time.
     """
     context = multiprocessing.get_context("spawn")
-    mine, told = context.Pipe()
-    process = context.Process(target=_run, args=(count, told), daemon=True)
+    parent_pipe, address_pipe = context.Pipe()
+    process = context.Process(
+        target=_run, args=(count, address_pipe), daemon=True
+    )
     process.start()
     try:
         addresses = []
         for _ in range(2):
-            if not mine.poll(_START_TIMEOUT):
+            if not parent_pipe.poll(_START_TIMEOUT):
                 raise TimeoutError("the stand-ins did not start")
-            addresses.append(mine.recv())
+            addresses.append(parent_pipe.recv())
         yield addresses[0], addresses[1]
     finally:
         process.terminate()
--- a/bench/without.py
+++ b/bench/without.py
@@ -1,6 +1,7 @@
-"""Runs an entry VM with one mechanism of the decisions switched off.
+"""Runs an entry VM with one scheduling mechanism disabled.
 
-For ablations only: operators have no such switch. `python without.py NAME`.
+Used for ablation measurements only; operators have no such setting. Usage:
+`python without.py NAME`, where NAME is a key of `_MECHANISMS`.
 """
 
 from collections.abc import Callable, Sequence
@@ -21,7 +22,7 @@
 from pimentocross.platform.__main__ import main
 
 
-def _nothing(*_: object, **__: object) -> None:
+def _do_nothing(*_: object, **__: object) -> None:
     return None
 
 
@@ -41,41 +42,47 @@
     return True
 
 
-def _no_level(*_: object) -> Estimate:
+def _zero_estimate(*_: object) -> Estimate:
     return Estimate(0.0, 0.0, 0.0)
 
 
-def _full(_: object, fillers: Sequence[Any], __: object) -> list[int]:
+def _full_paces(_: object, fillers: Sequence[Any], __: object) -> list[int]:
     return [FULL_PACE for _ in fillers]
 
 
-def _put(place: Any, name: str, value: Any) -> Callable[[], None]:
-    def switch_off() -> None:
-        setattr(place, name, value)
+def _replace_attribute(
+    holder: Any, name: str, value: Any
+) -> Callable[[], None]:
+    def disable() -> None:
+        setattr(holder, name, value)
 
-    return switch_off
+    return disable
 
 
 _MECHANISMS = {
-    "closing": _put(hosts, "_closing", _zero),
-    "headroom": _put(Headroom, "missing", _zero),
-    "leaving-at-once": _put(run_control.RunController, "_must_leave", _false),
-    "margin": _put(urgency, "MARGIN", 0.0),
-    "levels": _put(Disturbance, "_level", _no_level),
-    "moves": _put(Rebalancer, "_move", _nothing),
-    "outlook": _put(Rebalancer, "pass_over", _nothing),
-    "pacing": _put(run_control, "next_paces", _full),
-    "pairs": _put(Disturbance, "learn", _nothing),
-    "probes": _put(Probes, "allows", _true),
-    "quarantine": _put(Quarantine, "admits", _true),
-    "reclaim": _put(Reclaimer, "pass_over", _nothing),
-    "retries": _put(Probes, "may_retry", _false),
-    "same-image": _put(hosts, "_strangeness", _zero),
-    "sickness": _put(learned, "is_sick", _false),
-    "slowness": _put(soundness.Speeds, "is_slow", _false),
-    "stalls": _put(run_control, "is_stalled", _false),
-    "wide-steps": _put(Durations, "_slowest", _one),
-    "yielding-to-others": _put(CapacityValue, "wanted_by_others", _zero),
+    "closing": _replace_attribute(hosts, "_lost_room_cost", _zero),
+    "headroom": _replace_attribute(Headroom, "missing", _zero),
+    "leaving-at-once": _replace_attribute(
+        run_control.RunController, "_must_leave", _false
+    ),
+    "margin": _replace_attribute(urgency, "MARGIN", 0.0),
+    "levels": _replace_attribute(Disturbance, "_level", _zero_estimate),
+    "moves": _replace_attribute(Rebalancer, "_move", _do_nothing),
+    "outlook": _replace_attribute(Rebalancer, "pass_over", _do_nothing),
+    "pacing": _replace_attribute(run_control, "next_paces", _full_paces),
+    "pairs": _replace_attribute(Disturbance, "learn", _do_nothing),
+    "probes": _replace_attribute(Probes, "allows", _true),
+    "quarantine": _replace_attribute(Quarantine, "admits", _true),
+    "reclaim": _replace_attribute(Reclaimer, "pass_over", _do_nothing),
+    "retries": _replace_attribute(Probes, "may_retry", _false),
+    "same-image": _replace_attribute(hosts, "_image_mix_cost", _zero),
+    "sickness": _replace_attribute(learned, "is_sick", _false),
+    "slowness": _replace_attribute(soundness.Speeds, "is_slow", _false),
+    "stalls": _replace_attribute(run_control, "is_stalled", _false),
+    "wide-steps": _replace_attribute(Durations, "_slowest", _one),
+    "yielding-to-others": _replace_attribute(
+        CapacityValue, "scarcity_for_others", _zero
+    ),
 }
 
 if __name__ == "__main__":
--- a/pimentocross/placement/hosts.py
+++ b/pimentocross/placement/hosts.py
@@ -104,13 +104,13 @@
         return _best_effort_fit(spec, host, context)
     cost = (host.free.cpu - spec.size.cpu) / max(host.life.capacity.cpu, 1)
     if spec.target_tail:
-        cost += _strangeness(spec.image, host)
+        cost += _image_mix_cost(spec.image, host)
         cost += context.disturbance.expected_increase(spec.image, _loads(host))
-        cost += _closing(spec, host, context.capacity_value)
+        cost += _lost_room_cost(spec, host, context.capacity_value)
     return cost
 
 
-def _closing(
+def _lost_room_cost(
     spec: StepSpec, host: Host, capacity_value: CapacityValue
 ) -> float:
     """Returns the cost of best-effort room lost, 0 to `_MAX_CLOSING_COST`."""
@@ -120,7 +120,7 @@
     return _MAX_CLOSING_COST * lost / max(host.life.capacity.cpu, 1)
 
 
-def _strangeness(image: str, host: Host) -> float:
+def _image_mix_cost(image: str, host: Host) -> float:
     """Returns the cost of mixing a serving image with others, 0 to 2.
 
     It is 0 for a worker that serves only this image. The fewer images a worker
@@ -141,7 +141,9 @@
     left = left_over(host) - spec.size.cpu
     if left < 0 or host.misses_target:
         return math.inf
-    others_scarcity = context.capacity_value.wanted_by_others(host, spec.image)
+    others_scarcity = context.capacity_value.scarcity_for_others(
+        host, spec.image
+    )
     fit = 1.0 - left / capacity + _OTHERS_SCARCITY_WEIGHT * others_scarcity
     serving = host.serving
     if not serving:
--- a/pimentocross/placement/layout.py
+++ b/pimentocross/placement/layout.py
@@ -260,7 +260,7 @@
             room - cpu * SERVING_USE_SHARE, blocking_cpu, capacity
         )
 
-    def wanted_by_others(self, host: Host, image: str) -> float:
+    def scarcity_for_others(self, host: Host, image: str) -> float:
         """Returns the highest scarcity of other images that a worker admits."""
         if self.is_unconstrained:
             return 0.0
--- a/tests/slow_vm.py
+++ b/tests/slow_vm.py
@@ -16,7 +16,12 @@
 
 import trio
 
-from bench.large_jobs import FILLING, QUICK, SERVING, TARGET
+from bench.large_jobs import (
+    BEST_EFFORT_SIZE,
+    QUICK_SIZE,
+    SERVING_SIZE,
+    TARGET_TAIL_MS,
+)
 from pimentocross.contracts.worker_link import (
     HoldReply,
     StartOrder,
@@ -115,7 +120,7 @@
     def figure(self, plan: TaskPlan) -> int:
         """Returns a figure as a serving or best-effort task would report."""
         ratio = self._figures.uniform(0.3, 0.9)
-        whole = TARGET if plan.seconds == LASTS else plan.size.cpu
+        whole = TARGET_TAIL_MS if plan.seconds == LASTS else plan.size.cpu
         return int(whole * ratio)
 
 
@@ -234,13 +239,13 @@
 def plan_of(name: TaskName) -> TaskPlan:
     """Returns the plan of a task, chosen by the prefix of its job's name."""
     if name.job.startswith("crash") and not name.position:
-        return TaskPlan(1.0, QUICK, crashes_after=0.01)
+        return TaskPlan(1.0, QUICK_SIZE, crashes_after=0.01)
     if name.job.startswith("last"):
-        return TaskPlan(LASTS, SERVING)
+        return TaskPlan(LASTS, SERVING_SIZE)
     seconds = random.Random(str(name)).uniform(0.5, 1.5)
     if name.job.startswith("fill"):
-        return TaskPlan(2.7 * seconds, Size(0, FILLING.memory, 0))
-    return TaskPlan(seconds, QUICK)
+        return TaskPlan(2.7 * seconds, Size(0, BEST_EFFORT_SIZE.memory, 0))
+    return TaskPlan(seconds, QUICK_SIZE)
 
 
 def _measure_loop() -> float:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Counts behind the capacity page, and the page against its own figures."""
+"""Tests message sizes and appends, and the output in `docs/CAPACITY.md`."""
 
 from pathlib import Path
 
@@ -34,5 +34,5 @@
 
 
 def test_ends_share_appends() -> None:
-    # At 100 ends a second, the linger lets about 35 of them share one.
+    # At 100 ends a second, the writer's linger batches about 35 in an append.
     assert measure_appends(400) <= 14
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from bench.wire_parts import make_parts
+from bench.wire_parts import make_owner_context
 from pimentocross.observe import decisions
 from pimentocross.owner.isolation import Isolation
 from pimentocross.owner.jobs import JobRegistry
@@ -357,7 +357,7 @@
     # in flight, and the next life answers that call.
     ledger = Ledger(StoreStandin().client("a"), "jobs", "owner", 1)
     book = JobRegistry(ledger, 0.0)
-    parts = make_parts(book, ledger, lambda *_: None, lambda _: None)
+    parts = make_owner_context(book, ledger, lambda *_: None, lambda _: None)
     keeper = LeaseKeeper(make_worker(life(1), 1), parts, mock.Mock())
     before = decisions.counts()["worker_crashed"]
     keeper.end_life("its machine has another life", replaced=True)
--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from bench.wire_parts import make_parts
+from bench.wire_parts import make_owner_context
 from pimentocross.observe import decisions
 from pimentocross.owner import wall
 from pimentocross.owner.jobs import JobRegistry
@@ -157,7 +157,7 @@
 async def test_only_what_was_seen_is_recorded_of_a_silent_worker() -> None:
     ledger = Ledger(StoreStandin().client("a"), "jobs", "owner", 1)
     book = JobRegistry(ledger, 0.0)
-    parts = make_parts(book, ledger, lambda *_: None, lambda _: None)
+    parts = make_owner_context(book, ledger, lambda *_: None, lambda _: None)
     task = make_step(_JOB, StepSpec(1, SMALL)).tasks[0]
 
     def recorded(worker: Worker, decided_at: float) -> list[int] | None:
--- a/tests/test_large_cell.py
+++ b/tests/test_large_cell.py
@@ -20,7 +20,7 @@
 
 import trio
 
-from bench.large_jobs import filling_job, lasting_job, quick_job
+from bench.large_jobs import best_effort_job, quick_job, serving_job
 from pimentocross.owner.owner import CellPlatform, Claim, Owner
 from pimentocross.standins.store import StoreStandin
 from tests.owner_fixtures import CONFIG, QUEUE, running
@@ -60,7 +60,7 @@
     async with running(_owner(hall)) as owner, trio.open_nursery() as nursery:
         for number in range(_LASTING_JOBS):
             job = f"last{number}"
-            await owner.job_api.submit(job, QUEUE, lasting_job(number))
+            await owner.job_api.submit(job, QUEUE, serving_job(number))
         await trio.sleep(3.0)
         nursery.start_soon(_record_lateness, late)
         nursery.start_soon(_drain_workers, hall, leaving)
@@ -102,7 +102,7 @@
     while (passed := trio.current_time() - began) < _SECONDS:
         while filling < passed * _BEST_EFFORT_RATE:
             job = f"fill{filling}"
-            await owner.job_api.submit(job, QUEUE, filling_job(filling))
+            await owner.job_api.submit(job, QUEUE, best_effort_job(filling))
             filling += 1
         while quick < passed * _QUICK_RATE:
             await owner.job_api.submit(f"quick{quick}", QUEUE, quick_job())
--- a/tests/test_large_restarts.py
+++ b/tests/test_large_restarts.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from bench.large_jobs import filling_job, lasting_job, quick_job
+from bench.large_jobs import best_effort_job, quick_job, serving_job
 from pimentocross.owner.owner import CellPlatform, Claim, Owner
 from pimentocross.standins.store import StoreStandin
 from pimentocross.standins.task_worker import TaskWorkerStandin
@@ -88,7 +88,7 @@
     async with running(owner), trio.open_nursery() as nursery:
         for number in range(_LASTING_JOBS):
             await owner.job_api.submit(
-                f"last{number}", QUEUE, lasting_job(number)
+                f"last{number}", QUEUE, serving_job(number)
             )
         await trio.sleep(2.0)
         nursery.start_soon(_FaultInjector(clock, hall).run)
@@ -122,7 +122,9 @@
     number = 0
     while number < _SECONDS * _JOBS_PER_SECOND:
         await owner.job_api.submit(f"quick{number}", QUEUE, quick_job())
-        await owner.job_api.submit(f"fill{number}", QUEUE, filling_job(number))
+        await owner.job_api.submit(
+            f"fill{number}", QUEUE, best_effort_job(number)
+        )
         number += 1
         await trio.sleep(1 / _JOBS_PER_SECOND)
     return number
--- a/tests/test_listing_pace.py
+++ b/tests/test_listing_pace.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from bench.large_jobs import lasting_job
+from bench.large_jobs import serving_job
 from pimentocross.owner import const
 from pimentocross.owner.learned import LearnedEstimates
 from pimentocross.owner.owner import CellPlatform, Claim, Owner
@@ -58,7 +58,7 @@
         async with running(owner):
             for number in range(_JOBS):
                 job = f"last{number}"
-                await owner.job_api.submit(job, QUEUE, lasting_job(number))
+                await owner.job_api.submit(job, QUEUE, serving_job(number))
             await trio.sleep(6.0)
             before = listed
             await trio.sleep(_SECONDS)
--- a/tests/test_owner_lateness.py
+++ b/tests/test_owner_lateness.py
@@ -14,7 +14,7 @@
 
 import trio
 
-from bench.large_jobs import lasting_job
+from bench.large_jobs import serving_job
 from pimentocross.observe import decisions
 from pimentocross.observe.late_log import LoopLatenessLog
 from pimentocross.observe.lateness import LoopLateness
@@ -164,7 +164,7 @@
     async with running(owner), trio.open_nursery() as nursery:
         for number in range(_JOBS):
             await owner.job_api.submit(
-                f"last{number}", QUEUE, lasting_job(number)
+                f"last{number}", QUEUE, serving_job(number)
             )
         with trio.fail_after(10.0):
             while count(hall.journal, "start") < 14 * _JOBS:
--- a/tests/test_owner_metrics.py
+++ b/tests/test_owner_metrics.py
@@ -16,7 +16,7 @@
 
 import trio
 
-from bench.large_jobs import filling_job
+from bench.large_jobs import best_effort_job
 from pimentocross.cli.log_lines import LogLine, read_lines
 from pimentocross.observe import decisions
 from pimentocross.observe.decisions import DecisionLog
@@ -144,7 +144,7 @@
         async with running(make_owner(StoreStandin(), hall, 1)) as owner:
             for number in range(6):
                 job = f"fill{number}"
-                await owner.job_api.submit(job, QUEUE, filling_job(number))
+                await owner.job_api.submit(job, QUEUE, best_effort_job(number))
             await trio.sleep(3.0)
         took = trio.current_time() - began
 
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -1,4 +1,4 @@
-"""The instrument that compares two commits on the same days."""
+"""Tests the comparison of two commits on the same simulated days."""
 
 import json
 from pathlib import Path
@@ -6,7 +6,7 @@
 
 from bench.rounds import causes
 from bench.rounds.compare import difference
-from bench.rounds.plays import Play, play_day, read_figures
+from bench.rounds.day_runs import DayRun, read_figures, run_day
 from pimentocross.cli.log_lines import read_lines
 
 _REPORT = {
@@ -38,25 +38,25 @@
     assert figures.broken == ("LOST",)
 
 
-def test_a_difference_is_told_from_luck_only_if_it_is_steady() -> None:
+def test_only_a_steady_difference_is_significant() -> None:
     before = [0.5, 0.7, 0.9, 0.6, 0.8, 0.4, 0.75, 0.65]
     steady = difference(before, [x + 0.03 + 0.001 * x for x in before])
-    assert steady.told_from_luck and 0.029 < steady.low <= steady.high < 0.032
+    assert steady.is_significant and 0.029 < steady.low <= steady.high < 0.032
     signs = (1, -1, 1, -1, 1, -1, 1, -1)
     luck = difference(
         before, [x + 0.05 * s for x, s in zip(before, signs, strict=True)]
     )
-    assert not luck.told_from_luck and luck.pairs == 8
+    assert not luck.is_significant and luck.pairs == 8
 
 
-def test_a_day_that_was_played_is_not_played_again() -> None:
-    play = Play("c" * 40, "", Path("site.toml"), "mix", 3)
+def test_a_day_with_a_report_is_not_run_again() -> None:
+    play = DayRun("c" * 40, "", Path("site.toml"), "mix", 3)
     with (
-        mock.patch("bench.rounds.plays._run") as run,
+        mock.patch("bench.rounds.day_runs._run") as run,
         mock.patch.object(Path, "exists", return_value=True),
         mock.patch.object(Path, "read_text", return_value=json.dumps(_REPORT)),
     ):
-        found = play_day(Path("b"), Path("t"), play, Path("r"))
+        found = run_day(Path("b"), Path("t"), play, Path("r"))
     assert found.worth == 0.71
     run.assert_not_called()
     assert play.file_name == "cccccccccccc-whole-site-mix-3.json"
--- a/tests/test_takeover_cost.py
+++ b/tests/test_takeover_cost.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from bench.large_jobs import filling_job
+from bench.large_jobs import best_effort_job
 from pimentocross.contracts.store import Record
 from pimentocross.contracts.worker_link import HoldReply
 from pimentocross.owner import wall
@@ -117,7 +117,7 @@
 
 
 def _ended_job(number: int) -> list[Record]:
-    job = Job(f"ended{number}", QUEUE, filling_job(number), wall.now())
+    job = Job(f"ended{number}", QUEUE, best_effort_job(number), wall.now())
     job.cancel(wall.now())
     return [
         Record(records.SUBMISSION + job.id, records.encode_submission(job)),
--- a/tests/test_wire_cost.py
+++ b/tests/test_wire_cost.py
@@ -15,8 +15,12 @@
 
 import trio
 
-from bench.large_jobs import QUEUE, filling_job
-from bench.wire_parts import body_of, make_listed, make_parts
+from bench.large_jobs import QUEUE, best_effort_job
+from bench.wire_parts import (
+    encode_listing,
+    make_owner_context,
+    make_running_tasks,
+)
 from pimentocross.contracts.worker_link import (
     Ending,
     EndKind,
@@ -139,8 +143,8 @@
 
 
 async def test_a_listing_is_decoded_in_few_steps() -> None:
-    _, tasks = make_listed(JobRegistry(_ledger(), 150.0), _RUNS)
-    body = body_of(tasks)
+    _, tasks = make_running_tasks(JobRegistry(_ledger(), 150.0), _RUNS)
+    body = encode_listing(tasks)
     read_hold(body)
     with _counting() as count:
         reply = read_hold(body)
@@ -175,12 +179,14 @@
 async def test_a_listing_of_unchanged_runs_is_taken_in_in_few_steps() -> None:
     ledger = _ledger()
     book = JobRegistry(ledger, 150.0)
-    life, tasks = make_listed(book, _RUNS)
+    life, tasks = make_running_tasks(book, _RUNS)
     learned = LearnedEstimates()
-    parts = make_parts(book, ledger, learned.on_ending, learned.on_listed)
+    parts = make_owner_context(
+        book, ledger, learned.on_ending, learned.on_listed
+    )
     call_counts = []
     for rounds in (10, 20):
-        link = _RepeatingLink(read_hold(body_of(tasks)), rounds)
+        link = _RepeatingLink(read_hold(encode_listing(tasks)), rounds)
         worker = Worker(life, 0, link)  # type: ignore[arg-type]
         for task, run in tasks:
             worker.add(task, run)
@@ -197,7 +203,7 @@
 
 
 async def test_an_end_costs_the_same_however_large_the_job_is() -> None:
-    step = filling_job(0).steps[0]
+    step = best_effort_job(0).steps[0]
     calls = []
     for repeats in (2, 50):
         book = JobRegistry(_ledger(), 150.0)
